--- a/bench/crash-day.ts
+++ b/bench/crash-day.ts
@@ -3,7 +3,7 @@
  * crashes several routers see requests break; nearly all these requests end well elsewhere soon after.
  */
 import { SeededRandom, randomInteger } from '../src/runtime/random.js';
-import { CrashNewsWorld } from '../test/helpers/crash-news-world.js';
+import { CrashAnnouncementHarness } from '../test/helpers/crash-announcement-harness.js';
 import { profileMechanisms } from './mechanism-profile.js';
 
 const DEFAULT_SIZES = [24, 79, 195];
@@ -23,7 +23,7 @@
 }
 
 async function playDay(routers: number, crashes: number): Promise<DayCost> {
-  const world = new CrashNewsWorld();
+  const world = new CrashAnnouncementHarness();
   for (let index = 0; index < routers; index += 1) await world.start();
   await world.clock.advance(JOINED_MS);
   const before = world.datagrams;
@@ -42,7 +42,7 @@
   return { datagrams: world.datagrams - before, ownCodeMs };
 }
 
-function playCrash(world: CrashNewsWorld, crash: number, random: SeededRandom): void {
+function playCrash(world: CrashAnnouncementHarness, crash: number, random: SeededRandom): void {
   const engineId = `engine-${crash}`;
   for (let index = 0; index < ROUTERS_PER_CRASH; index += 1) {
     const router = randomInteger(random, world.peers.length);
--- a/bench/group-deployment.ts
+++ b/bench/group-deployment.ts
@@ -5,22 +5,22 @@
  */
 import type { Hasher } from '../src/runtime/hasher.js';
 import { GatewayNode } from '../src/coordination/gateway/gateway-node.js';
-import { RecordedReply } from '../src/lab/gateway-world/recorded-reply.js';
-import { EngineObservations } from '../src/lab/gateway-world/simulated-engine.js';
-import { SimulatedFleet } from '../src/lab/gateway-world/simulated-fleet.js';
-import { SimulatedInference } from '../src/lab/gateway-world/simulated-inference.js';
-import { SimulatedObjectStore } from '../src/lab/gateway-world/simulated-object-store.js';
-import { SimulatedStorePort } from '../src/lab/gateway-world/simulated-store-port.js';
+import { RecordedReply } from '../src/lab/gateway-simulation/recorded-reply.js';
+import { EngineObservations } from '../src/lab/gateway-simulation/simulated-engine.js';
+import { SimulatedFleet } from '../src/lab/gateway-simulation/simulated-fleet.js';
+import { SimulatedInference } from '../src/lab/gateway-simulation/simulated-inference.js';
+import { SimulatedObjectStore } from '../src/lab/gateway-simulation/simulated-object-store.js';
+import { SimulatedStorePort } from '../src/lab/gateway-simulation/simulated-store-port.js';
 import {
   DECODER,
   GENERATION_SERVICE,
   KEYS,
   KINDS,
-  WORLD_MODEL,
+  SIMULATION_MODEL,
   inboundRequest,
-  worldConfiguration,
-  worldSettings,
-} from '../src/lab/gateway-world/world-fixtures.js';
+  simulationConfiguration,
+  simulationSettings,
+} from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import { HostClock } from '../src/lab/simulation/host-clock.js';
 import { SimulatedNetwork } from '../src/lab/simulation/simulated-network.js';
 import {
@@ -120,15 +120,15 @@
 
   private configure(): void {
     const tenants = [...KEYS].map(([name, keys]) => ({ name, keys: [...keys] }));
-    this.store.put(KINDS.configuration, 'main', worldConfiguration(1, tenants));
-    this.store.put(KINDS.weightVersions, WORLD_MODEL, { model: WORLD_MODEL, version: 1 });
+    this.store.put(KINDS.configuration, 'main', simulationConfiguration(1, tenants));
+    this.store.put(KINDS.weightVersions, SIMULATION_MODEL, { model: SIMULATION_MODEL, version: 1 });
   }
 
   private async startRouter(index: number): Promise<void> {
     const name = `router-${index}`;
     const host = new HostClock(this.clock);
     this.network.attach(name, host);
-    const settings = worldSettings(name);
+    const settings = simulationSettings(name);
     const transport = new SimulatedDatagramTransport(this.sockets, name);
     const node = await GatewayNode.open(
       {
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -5,7 +5,7 @@
 import { EngineRegistry } from '../src/state/routing/engine-registry.js';
 import { cacheSaltOf } from '../src/state/routing/generation.js';
 import { HomeRanking } from '../src/state/routing/home-ranking.js';
-import { KeptPrefixes } from '../src/state/routing/kept-prefixes.js';
+import { CachedPrefixes } from '../src/state/routing/cached-prefixes.js';
 import { LoadTable } from '../src/state/routing/load-table.js';
 import { type PlacementTables, placeRequest } from '../src/state/routing/placement.js';
 import { StorePressure } from '../src/state/routing/save-choice.js';
@@ -98,7 +98,7 @@
   random: SeededRandom,
 ): PlacementTables {
   const loads = new LoadTable();
-  const kept = new KeptPrefixes();
+  const kept = new CachedPrefixes();
   const versions = new WeightVersions(7_000, new StoreOutages());
   versions.note(MODEL, { version: 1, namedMs: -100_000, isWitnessed: true });
   const reported = new Map(
--- a/fuzz/change-notices.ts
+++ b/fuzz/change-notices.ts
@@ -1,5 +1,5 @@
 /** A view of engines in which what they say of themselves is changed before a router takes it. */
-import type { RouterView } from '../src/lab/gateway-world/world-mutation.js';
+import type { RouterView } from '../src/lab/gateway-simulation/simulation-mutation.js';
 import type { EngineNotice } from '../src/protocol/inference/port.js';
 import { changePort } from './change-port.js';
 
--- a/fuzz/engine-life-commands.ts
+++ b/fuzz/engine-life-commands.ts
@@ -1,12 +1,12 @@
 /** Commands of the fuzz on the lives of engines: restarts under one name, late orders, odd entries. */
 import fc from 'fast-check';
-import { OddEntry } from '../src/lab/gateway-world/odd-entry.js';
-import { OrderFault, type Rebirth } from '../src/lab/gateway-world/simulated-fleet.js';
+import { MalformedEntry } from '../src/lab/gateway-simulation/malformed-entry.js';
+import { OrderFault, type EngineRestart } from '../src/lab/gateway-simulation/simulated-fleet.js';
 import { type GatewayCommand, command } from './gateway-command.js';
 import { type CommandSource, GATEWAY_COMMANDS, engine } from './gateway-commands.js';
 
 /** How an engine starts again: at once or after a while, behind a cut, with its entry late or its load lost. */
-const rebirth: fc.Arbitrary<Rebirth> = fc.record({
+const rebirth: fc.Arbitrary<EngineRestart> = fc.record({
   downMs: fc.constantFrom(1, 40, 1_000),
   cutMs: fc.constantFrom(0, 0, 700, 2_500),
   entryDelayMs: fc.constantFrom(0, 0, 300, 2_500),
@@ -73,7 +73,7 @@
     }),
   );
 
-const oddEntry = fc.constantFrom(...Object.values(OddEntry));
+const oddEntry = fc.constantFrom(...Object.values(MalformedEntry));
 
 /** An odd entry appears, and requests come that its engine could run if it were one. */
 const addOddEntry = oddEntry.map((odd) =>
--- a/fuzz/engine-life-mutations.ts
+++ b/fuzz/engine-life-mutations.ts
@@ -1,7 +1,7 @@
 /** Routers that keep one thing of an engine's former life, and one that trusts odd entries. */
 import type { ObjectDecoder } from '../src/coordination/gateway/object-decoder.js';
-import type { RouterView } from '../src/lab/gateway-world/world-mutation.js';
-import type { StoredEngine } from '../src/lab/gateway-world/stored-engine.js';
+import type { RouterView } from '../src/lab/gateway-simulation/simulation-mutation.js';
+import type { StoredEngine } from '../src/lab/gateway-simulation/stored-engine.js';
 import type { EngineRecord } from '../src/state/routing/engine-registry.js';
 import { changePort } from './change-port.js';
 import type { GatewayMutation } from './gateway-mutations.js';
--- a/fuzz/engine-limit-commands.ts
+++ b/fuzz/engine-limit-commands.ts
@@ -1,6 +1,6 @@
 /** Commands of the fuzz on limits: engines that take a limited number of requests a second, amid every other fault. */
 import fc from 'fast-check';
-import { sendAllKinds } from '../src/lab/gateway-world/world-traffic.js';
+import { sendAllKinds } from '../src/lab/gateway-simulation/simulation-traffic.js';
 import { type GatewayCommand, command } from './gateway-command.js';
 import { type CommandSource, GATEWAY_COMMANDS, engine } from './gateway-commands.js';
 
--- a/fuzz/engine-limit-mutations.ts
+++ b/fuzz/engine-limit-mutations.ts
@@ -1,5 +1,5 @@
 /** Routers that do not keep to limits together, which the fuzz on limits must then find. */
-import { ROUTERS } from '../src/lab/gateway-world/world-fixtures.js';
+import { ROUTERS } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import { changeNotices } from './change-notices.js';
 import type { GatewayMutation } from './gateway-mutations.js';
 
--- a/fuzz/engine-notice-commands.ts
+++ b/fuzz/engine-notice-commands.ts
@@ -1,6 +1,6 @@
 /** Commands of the fuzz on what engines say of themselves: engines that leave unheard, and that ask for pauses. */
 import fc from 'fast-check';
-import { EngineMode } from '../src/lab/gateway-world/simulated-engine.js';
+import { EngineMode } from '../src/lab/gateway-simulation/simulated-engine.js';
 import { type GatewayCommand, command } from './gateway-command.js';
 import { type CommandSource, GATEWAY_COMMANDS, engine } from './gateway-commands.js';
 
--- a/fuzz/gateway-commands.ts
+++ b/fuzz/gateway-commands.ts
@@ -1,8 +1,11 @@
 /** Commands of the gateway's fuzz: requests of each kind and the faults of routers, engines and store. */
 import fc from 'fast-check';
-import { EngineMode } from '../src/lab/gateway-world/simulated-engine.js';
-import type { WriteFault } from '../src/lab/gateway-world/simulated-object-store.js';
-import { CRASHING_BODY, type RequestKind } from '../src/lab/gateway-world/world-fixtures.js';
+import { EngineMode } from '../src/lab/gateway-simulation/simulated-engine.js';
+import type { WriteFault } from '../src/lab/gateway-simulation/simulated-object-store.js';
+import {
+  CRASHING_BODY,
+  type RequestKind,
+} from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import { type GatewayCommand, command } from './gateway-command.js';
 
 const router = fc.nat(2);
--- a/fuzz/gateway-mutations.ts
+++ b/fuzz/gateway-mutations.ts
@@ -1,15 +1,15 @@
 /** Ways to weaken a router, each with the rule that the fuzz must then find broken. */
 import type { ObjectDecoder } from '../src/coordination/gateway/object-decoder.js';
-import type { GatewayRule } from '../src/lab/gateway-world/gateway-oracle.js';
-import type { WorldMutation } from '../src/lab/gateway-world/world-mutation.js';
-import { worldSettings } from '../src/lab/gateway-world/world-fixtures.js';
+import type { GatewayRule } from '../src/lab/gateway-simulation/gateway-oracle.js';
+import type { SimulationMutation } from '../src/lab/gateway-simulation/simulation-mutation.js';
+import { simulationSettings } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { RoutingConfiguration } from '../src/state/routing/configuration.js';
 
 /** A weakened router. */
 export interface GatewayMutation {
   readonly name: string;
   readonly rule: GatewayRule;
-  readonly mutation: WorldMutation;
+  readonly mutation: SimulationMutation;
   /** Seed of the fuzz that finds it; left out: the first. */
   readonly seed?: number;
 }
@@ -17,7 +17,7 @@
 /** Lets a decoder change each configuration before a router sees it. */
 function changeConfiguration(
   change: (configuration: RoutingConfiguration) => RoutingConfiguration,
-): WorldMutation {
+): SimulationMutation {
   return {
     decoder: (decoder: ObjectDecoder) => ({
       ...decoder,
@@ -57,7 +57,7 @@
     name: 'what a router relays is taken however old it is',
     rule: 'engine-drained',
     mutation: {
-      settings: { relay: { ...worldSettings('any').relay, freshMs: Infinity } },
+      settings: { relay: { ...simulationSettings('any').relay, freshMs: Infinity } },
     },
   },
   {
--- a/fuzz/gateway-run.ts
+++ b/fuzz/gateway-run.ts
@@ -1,8 +1,8 @@
 /** Runs the gateway's stateful fuzz and reports a failing run's seed and shrunk commands. */
 import fc from 'fast-check';
-import { findBreaches } from '../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../src/lab/gateway-world/gateway-world.js';
-import type { WorldMutation } from '../src/lab/gateway-world/world-mutation.js';
+import { findBreaches } from '../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../src/lab/gateway-simulation/gateway-simulation.js';
+import type { SimulationMutation } from '../src/lab/gateway-simulation/simulation-mutation.js';
 import type { GatewayCommand } from './gateway-command.js';
 import { type CommandSource, gatewayCommands } from './gateway-commands.js';
 
@@ -17,7 +17,7 @@
 export interface GatewayFuzzOptions {
   readonly seed: number;
   readonly runs: number;
-  readonly mutation?: WorldMutation;
+  readonly mutation?: SimulationMutation;
   /** What is done to the deployment; left out: every command but those on lives of engines and on limits. */
   readonly commands?: CommandSource;
   /** Whether a failing run is made smaller before it is reported. */
@@ -28,9 +28,9 @@
 export async function runGatewayCommands(
   seed: number,
   commands: Iterable<GatewayCommand>,
-  mutation: WorldMutation,
+  mutation: SimulationMutation,
 ): Promise<void> {
-  const world = await GatewayWorld.create(seed, mutation);
+  const world = await GatewaySimulation.create(seed, mutation);
   await fc.asyncModelRun(() => ({ model: {}, real: world }), commands);
   await world.settle();
   const breaches = findBreaches(world);
--- a/fuzz/kept-prefixes-fuzz.ts
+++ b/fuzz/kept-prefixes-fuzz.ts
@@ -3,20 +3,20 @@
 import type { GroupMembership } from '../src/coordination/gateway/group-membership.js';
 import { GatewayStatistics } from '../src/coordination/gateway/gateway-statistics.js';
 import { ListedEngines } from '../src/coordination/gateway/listed-engines.js';
-import type { RouterView } from '../src/lab/gateway-world/world-mutation.js';
+import type { RouterView } from '../src/lab/gateway-simulation/simulation-mutation.js';
 import {
   DECODER,
   GENERATION_SERVICE,
-  WORLD_MODEL,
-  worldConfiguration,
-} from '../src/lab/gateway-world/world-fixtures.js';
+  SIMULATION_MODEL,
+  simulationConfiguration,
+} from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { InferencePort } from '../src/protocol/inference/port.js';
 import { SilentLogger } from '../src/runtime/logger.js';
 import { SeededRandom } from '../src/runtime/random.js';
 import { VirtualClock } from '../src/runtime/virtual-clock.js';
 import { ConfigurationState } from '../src/state/routing/configuration-state.js';
 import { EngineHealth } from '../src/state/routing/engine-health.js';
-import { KeptPrefixes } from '../src/state/routing/kept-prefixes.js';
+import { CachedPrefixes } from '../src/state/routing/cached-prefixes.js';
 import type { GatewayFuzzResult } from './gateway-run.js';
 import { KeepingEngine, SALT } from './keeping-engine.js';
 import { positionAt } from '../test/helpers/positions.js';
@@ -63,14 +63,14 @@
 class FollowedEngine {
   readonly clock = new VirtualClock();
   readonly engine = new KeepingEngine(this.clock);
-  readonly kept = new KeptPrefixes();
+  readonly kept = new CachedPrefixes();
   private readonly engines: ListedEngines;
   private readonly formerIds: string[] = [];
   private revision = 0;
 
   constructor(changeView: (view: RouterView) => RouterView) {
     const configuration = new ConfigurationState(Infinity);
-    configuration.adopt(worldConfiguration(1, []), this.clock.elapsed());
+    configuration.adopt(simulationConfiguration(1, []), this.clock.elapsed());
     const own = { nodeId: 'router-1' };
     const view = { engines: this.engine.port as InferencePort, decoder: DECODER };
     this.engines = new ListedEngines({
@@ -131,7 +131,7 @@
       zone: 'zone-a',
       slots: 8,
       isDraining: false,
-      modelVersions: [[WORLD_MODEL, 1]],
+      modelVersions: [[SIMULATION_MODEL, 1]],
     };
     this.engines.list.take({ name: NAME, position: positionAt(this.revision), spec });
     this.engines.updateFeeds();
--- a/fuzz/quota-commands.ts
+++ b/fuzz/quota-commands.ts
@@ -1,6 +1,6 @@
 /** Commands of the fuzz of tenants' limits: limits that change, tenants that send far beyond them, routers cut off. */
 import fc from 'fast-check';
-import { STREAM_TOKENS } from '../src/lab/gateway-world/world-fixtures.js';
+import { STREAM_TOKENS } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import { QuotaUnit, type TenantLimit } from '../src/state/routing/quota/tenant-limit.js';
 import { type GatewayCommand, command } from './gateway-command.js';
 import { type CommandSource, GATEWAY_COMMANDS } from './gateway-commands.js';
--- a/fuzz/quota-mutations.ts
+++ b/fuzz/quota-mutations.ts
@@ -1,7 +1,7 @@
 /** Ways to weaken the limits of tenants, which the fuzz with limits must then find broken. */
 import { decodeClusterDatagram, encodeQuotaQuestion } from '../src/protocol/peer/cluster-codec.js';
 import type { DatagramTransport } from '../src/transport/datagram-transport.js';
-import { WORLD_QUOTA_TOLERANCE } from '../src/lab/gateway-world/world-fixtures.js';
+import { SIMULATION_QUOTA_TOLERANCE } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { GatewayMutation } from './gateway-mutations.js';
 
 /** What a router is asked on behalf of others counts as nothing. */
@@ -36,7 +36,10 @@
     rule: 'tenant-limit',
     mutation: {
       settings: {
-        quotaTolerance: { ...WORLD_QUOTA_TOLERANCE, slack: 30 * WORLD_QUOTA_TOLERANCE.slack },
+        quotaTolerance: {
+          ...SIMULATION_QUOTA_TOLERANCE,
+          slack: 30 * SIMULATION_QUOTA_TOLERANCE.slack,
+        },
       },
     },
   },
--- a/soak/notice-oracle.ts
+++ b/soak/notice-oracle.ts
@@ -1,5 +1,5 @@
 /** Judges whether the routers of a soak kept to what engines had told them of themselves. */
-import { lifeOf } from '../src/state/routing/engine-incarnation.js';
+import { parseIncarnation } from '../src/state/routing/engine-incarnation.js';
 import { CallArrivals } from './call-arrivals.js';
 import type { ReportedNotice } from './messages.js';
 import type { Breach, SoakRecord } from './oracle.js';
@@ -69,7 +69,7 @@
 
   /** Whether answers of an engine may have been lost on the way between two moments. */
   private isWayFaulty(engineId: string, fromMs: number, toMs: number): boolean {
-    const { name } = lifeOf(engineId);
+    const { name } = parseIncarnation(engineId);
     return this.record.observations.engineTroubles.some(
       (each) => each.wayTo === name && each.fromMs <= toMs && fromMs <= each.untilMs,
     );
--- a/soak/store-program.ts
+++ b/soak/store-program.ts
@@ -2,8 +2,8 @@
 import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { isDeepStrictEqual } from 'node:util';
-import { SimulatedObjectStore } from '../src/lab/gateway-world/simulated-object-store.js';
-import { SimulatedStorePort } from '../src/lab/gateway-world/simulated-store-port.js';
+import { SimulatedObjectStore } from '../src/lab/gateway-simulation/simulated-object-store.js';
+import { SimulatedStorePort } from '../src/lab/gateway-simulation/simulated-store-port.js';
 import { HostClock } from '../src/lab/simulation/host-clock.js';
 import type { StoredObject } from '../src/protocol/object-store/port.js';
 import { SystemClock } from '../src/runtime/clock.js';
--- a/src/coordination/gateway/seen-names.ts
+++ b/src/coordination/gateway/bounded-name-set.ts
@@ -4,7 +4,7 @@
 const MAXIMUM_NAMES = 64;
 
 /** The names. */
-export class SeenNames {
+export class BoundedNameSet {
   private readonly names = new Set<string>();
 
   /** Notes a name; true where it is new and there was room for it. */
--- a/src/coordination/gateway/cache-feeds.ts
+++ b/src/coordination/gateway/cache-feeds.ts
@@ -11,11 +11,11 @@
   InferencePort,
   StatedLife,
 } from '../../protocol/inference/port.js';
-import type { KeptPrefixes } from '../../state/routing/kept-prefixes.js';
+import type { CachedPrefixes } from '../../state/routing/cached-prefixes.js';
 
 /** An engine or cache store whose events are followed. */
 export interface FeedSource {
-  /** Identity of the holder in {@link KeptPrefixes}. */
+  /** Identity of the holder in {@link CachedPrefixes}. */
   readonly holder: string;
   /** HOST:PORT. */
   readonly address: string;
@@ -23,7 +23,7 @@
 
 /** What the feeds work with. */
 export interface FeedParts {
-  readonly kept: KeptPrefixes;
+  readonly kept: CachedPrefixes;
   readonly engines: InferencePort;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/coordination/gateway/collector-choice.ts
+++ b/src/coordination/gateway/collector-choice.ts
@@ -1,6 +1,6 @@
 /** Which router collects the work of a large group, as one router of it sees that. */
 import type { MemberUpdate } from '../../state/membership.js';
-import { PassedOver } from '../../state/routing/passed-over.js';
+import { PeerCooldowns } from '../../state/routing/peer-cooldowns.js';
 import { byCapability } from '../../state/routing/store-readers.js';
 
 /** The group, as far as the choice needs it. */
@@ -12,7 +12,7 @@
 }
 
 /** A collector that was passed over. */
-export interface SilentCollector {
+export interface UnresponsiveCollector {
   readonly nodeId: string;
   readonly silentMs: number;
 }
@@ -25,7 +25,7 @@
 export class CollectorChoice {
   private order: readonly MemberUpdate[] = [];
   private orderVersion = -1;
-  private readonly passedOver = new PassedOver(PASSED_OVER_MS);
+  private readonly passedOver = new PeerCooldowns(PASSED_OVER_MS);
   private present: MemberUpdate | undefined;
   /** When the present collector was last heard, or was chosen. */
   private heardMs = 0;
@@ -50,7 +50,7 @@
   }
 
   /** Passes the present collector over where it has been silent; answers which one. */
-  passOverIfSilent(periodMs: number, now: number): SilentCollector | undefined {
+  passOverIfSilent(periodMs: number, now: number): UnresponsiveCollector | undefined {
     const nodeId = this.present?.nodeId;
     if (nodeId === undefined || nodeId === this.group.own.nodeId) return undefined;
     const silentMs = now - this.heardMs;
--- a/src/coordination/gateway/crash-news-codec.ts
+++ b/src/coordination/gateway/crash-announcement-codec.ts
@@ -1,6 +1,6 @@
 /** What reports carry of crashed engines and of requests in quarantine, as messages and as the router's values. */
 import { create } from '@bufbuild/protobuf';
-import type { CrashNews } from '../../state/routing/crash-news-board.js';
+import type { CrashAnnouncements } from '../../state/routing/crash-announcement-queue.js';
 import {
   EngineCrashSchema,
   type LoadReport,
@@ -8,9 +8,12 @@
 } from '../../protocol/peer/generated/cluster_pb.js';
 
 /** The fields of a report that hold crash news. */
-export type CrashNewsFields = Pick<LoadReport, 'crashes' | 'quarantine'>;
+export type CrashAnnouncementFields = Pick<LoadReport, 'crashes' | 'quarantine'>;
 
-export function encodeCrashNews({ crashes, quarantine }: CrashNews): CrashNewsFields {
+export function encodeCrashAnnouncements({
+  crashes,
+  quarantine,
+}: CrashAnnouncements): CrashAnnouncementFields {
   return {
     crashes: crashes.map(({ engineId, fingerprints, ageMs }) =>
       create(EngineCrashSchema, { engineId, fingerprints: fingerprints.map(toBytes), ageMs }),
@@ -21,7 +24,10 @@
   };
 }
 
-export function decodeCrashNews({ crashes, quarantine }: CrashNewsFields): CrashNews {
+export function decodeCrashAnnouncements({
+  crashes,
+  quarantine,
+}: CrashAnnouncementFields): CrashAnnouncements {
   return {
     crashes: crashes.map(({ engineId, fingerprints, ageMs }) => ({
       engineId,
--- a/src/coordination/gateway/crash-guard.ts
+++ b/src/coordination/gateway/crash-guard.ts
@@ -5,11 +5,11 @@
 import type { Clock } from '../../runtime/clock.js';
 import type { Logger } from '../../runtime/logger.js';
 import {
-  type CrashNews,
-  CrashNewsBoard,
-  type EngineCrashNotice,
-  type QuarantineNotice,
-} from '../../state/routing/crash-news-board.js';
+  type CrashAnnouncements,
+  CrashAnnouncementQueue,
+  type EngineCrashAnnouncement,
+  type QuarantineAnnouncement,
+} from '../../state/routing/crash-announcement-queue.js';
 import {
   QuarantineChange,
   type QuarantinePolicy,
@@ -45,7 +45,7 @@
 /** The guard of one router. */
 export class CrashGuard {
   private readonly quarantine: RequestQuarantine;
-  private readonly board = new CrashNewsBoard();
+  private readonly board = new CrashAnnouncementQueue();
   private listener: QuarantineListener | undefined;
 
   constructor(private readonly parts: CrashGuardParts) {
@@ -117,7 +117,7 @@
   }
 
   /** What the next report to other routers carries. */
-  takeNews(): CrashNews {
+  takeNews(): CrashAnnouncements {
     return this.board.take(this.quarantine.quarantinedSince, this.parts.clock.now());
   }
 
@@ -127,7 +127,7 @@
    * @param isPassedOn whether the group is so large that what is new here is new to others too
    * @returns true where something new should not wait for the next report
    */
-  receive({ crashes, quarantine }: CrashNews, isPassedOn: boolean): boolean {
+  receive({ crashes, quarantine }: CrashAnnouncements, isPassedOn: boolean): boolean {
     const isUrgentCrash = crashes.map((notice) => this.receiveCrash(notice, isPassedOn));
     const isUrgentVerdict = quarantine.map((notice) => this.receiveVerdict(notice, isPassedOn));
     return [...isUrgentCrash, ...isUrgentVerdict].some(Boolean);
@@ -140,7 +140,7 @@
     return expired;
   }
 
-  private receiveCrash(notice: EngineCrashNotice, isPassedOn: boolean): boolean {
+  private receiveCrash(notice: EngineCrashAnnouncement, isPassedOn: boolean): boolean {
     const news = this.countCrash(notice, 'router');
     if (news.length === 0) return false;
     const atMs = this.parts.clock.now() - notice.ageMs;
@@ -148,7 +148,7 @@
     return true;
   }
 
-  private receiveVerdict(notice: QuarantineNotice, isPassedOn: boolean): boolean {
+  private receiveVerdict(notice: QuarantineAnnouncement, isPassedOn: boolean): boolean {
     const { fingerprint, isCleared, ageMs } = notice;
     const atMs = this.parts.clock.now() - ageMs;
     const change = isCleared
@@ -161,7 +161,7 @@
 
   /** Answers the requests of which this crash was not known. */
   private countCrash(
-    { engineId, fingerprints, ageMs }: EngineCrashNotice,
+    { engineId, fingerprints, ageMs }: EngineCrashAnnouncement,
     source: QuarantineSource,
   ): string[] {
     const atMs = this.parts.clock.now() - ageMs;
--- a/src/coordination/gateway/crash-protection.ts
+++ b/src/coordination/gateway/crash-protection.ts
@@ -7,7 +7,7 @@
 import type { EngineRegistry } from '../../state/routing/engine-registry.js';
 import type { QuarantinePolicy } from '../../state/routing/request-quarantine.js';
 import { CrashGuard, type QuarantineSource } from './crash-guard.js';
-import type { Rebirth } from './engine-lives.js';
+import type { EngineRestart } from './engine-incarnation-tracker.js';
 import { EngineCrashDetector } from './engine-crash-detector.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
 import { QuarantineStore } from './quarantine-store.js';
@@ -98,7 +98,7 @@
   }
 
   /** An engine has started again: its former life crashed, unless it was about to end. */
-  noteReborn({ former, bornMs }: Rebirth): void {
+  noteReborn({ former, bornMs }: EngineRestart): void {
     this.detector.noteReborn(former, bornMs);
   }
 
--- a/src/coordination/gateway/engine-crash-detector.ts
+++ b/src/coordination/gateway/engine-crash-detector.ts
@@ -8,7 +8,7 @@
 import type { Logger } from '../../runtime/logger.js';
 import { type InferencePort, ListenerState } from '../../protocol/inference/port.js';
 import { BreakFinding, EngineCrashes } from '../../state/routing/engine-crashes.js';
-import { lifeOf } from '../../state/routing/engine-incarnation.js';
+import { parseIncarnation } from '../../state/routing/engine-incarnation.js';
 import type { EngineRecord, EngineRegistry } from '../../state/routing/engine-registry.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
 
@@ -82,7 +82,7 @@
 
   private async check(engineId: string, address: string): Promise<void> {
     const { engines, logger } = this.parts;
-    const { name } = lifeOf(engineId);
+    const { name } = parseIncarnation(engineId);
     const state = await engines.checkListener({ id: engineId, name, address });
     if (this.crashes.isCrashed(engineId)) return;
     if (state !== ListenerState.Refused) {
--- a/src/coordination/gateway/limit-news.ts
+++ b/src/coordination/gateway/engine-limit-discovery.ts
@@ -2,11 +2,11 @@
 import type { EngineEndpoint } from '../../protocol/inference/port.js';
 import type { Clock } from '../../runtime/clock.js';
 import type { Logger } from '../../runtime/logger.js';
-import type { EngineLimits, LimitNotice } from '../../state/routing/engine-limits.js';
+import type { EngineLimits, EngineLimitAnnouncement } from '../../state/routing/engine-limits.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
 
 /** What the news work with. */
-export interface LimitNewsParts {
+export interface EngineLimitDiscoveryParts {
   readonly limits: EngineLimits;
   readonly statistics: GatewayStatistics;
   readonly clock: Clock;
@@ -22,11 +22,11 @@
 }
 
 /** The news of one router. */
-export class LimitNews {
-  constructor(private readonly parts: LimitNewsParts) {}
+export class EngineLimitDiscovery {
+  constructor(private readonly parts: EngineLimitDiscoveryParts) {}
 
   /** What the next report to other routers carries. */
-  get notices(): readonly LimitNotice[] {
+  get notices(): readonly EngineLimitAnnouncement[] {
     return this.parts.limits.notices(this.parts.clock.now());
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Another router tells what it has learnt. */
-  receive(notice: LimitNotice): void {
+  receive(notice: EngineLimitAnnouncement): void {
     const { limits, clock } = this.parts;
     if (!limits.receive(notice, clock.now())) return;
     const { engineName, perSecond, ageMs } = notice;
--- a/src/coordination/gateway/engine-list.ts
+++ b/src/coordination/gateway/engine-list.ts
@@ -4,9 +4,9 @@
 import { StorePosition } from '../../runtime/store-position.js';
 import type { StoredObject } from '../../protocol/object-store/port.js';
 import type { EngineRecord, EngineRegistry } from '../../state/routing/engine-registry.js';
-import type { EngineLives } from './engine-lives.js';
+import type { EngineIncarnationTracker } from './engine-incarnation-tracker.js';
 import type { ObjectDecoder } from './object-decoder.js';
-import type { OddEntries } from './odd-entries.js';
+import type { MalformedEntries } from './malformed-entries.js';
 import { RestoredEntries } from './restored-entries.js';
 
 /** For this long after a failed call, a missing entry may have lapsed with the store. */
@@ -22,8 +22,8 @@
 /** What the list works with. */
 export interface EngineListParts {
   readonly registry: EngineRegistry;
-  readonly lives: EngineLives;
-  readonly odd: OddEntries;
+  readonly lives: EngineIncarnationTracker;
+  readonly odd: MalformedEntries;
   readonly decoder: ObjectDecoder;
   readonly clock: Clock;
   readonly logger: Logger;
--- a/src/coordination/gateway/engine-notices.ts
+++ b/src/coordination/gateway/engine-notices.ts
@@ -1,7 +1,7 @@
 /** What engines say of themselves beside their answers. */
 import type { EngineNotice } from '../../protocol/inference/port.js';
 import type { GatewayContext } from './gateway-context.js';
-import type { AnsweredRequest } from './limit-news.js';
+import type { AnsweredRequest } from './engine-limit-discovery.js';
 
 /** Takes the notice that an answer carries. */
 export function noteEngineNotice(
--- a/src/coordination/gateway/followed-kinds.ts
+++ b/src/coordination/gateway/followed-kinds.ts
@@ -2,16 +2,16 @@
 import { ListFreshness } from '../../protocol/object-store/port.js';
 import type { EngineList } from './engine-list.js';
 import type { GatewaySettings } from './gateway-settings.js';
-import type { OddEntries } from './odd-entries.js';
+import type { MalformedEntries } from './malformed-entries.js';
 import { type FollowHandlers, FirstWatch, type StoreFollowers } from './store-followers.js';
-import type { VersionNews } from './version-news.js';
+import type { WeightVersionDiscovery } from './weight-version-discovery.js';
 
 /** Who takes the objects. */
 export interface KindListeners {
   readonly configuration: FollowHandlers;
   readonly engineList: EngineList;
-  readonly oddEntries: OddEntries;
-  readonly versionNews: VersionNews;
+  readonly oddEntries: MalformedEntries;
+  readonly versionNews: WeightVersionDiscovery;
 }
 
 /**
--- a/src/coordination/gateway/gateway-context.ts
+++ b/src/coordination/gateway/gateway-context.ts
@@ -7,19 +7,19 @@
 import type { EngineHealth } from '../../state/routing/engine-health.js';
 import type { EngineRegistry } from '../../state/routing/engine-registry.js';
 import type { HomeRanking } from '../../state/routing/home-ranking.js';
-import type { KeptPrefixes } from '../../state/routing/kept-prefixes.js';
+import type { CachedPrefixes } from '../../state/routing/cached-prefixes.js';
 import type { LoadTable } from '../../state/routing/load-table.js';
 import type { SendRate } from '../../state/routing/send-rate.js';
 import {
   type RetryBudgetSettings,
   SharedRetryBudget,
 } from '../../state/routing/shared-retry-budget.js';
-import type { TurnView } from '../../state/routing/send-turns.js';
+import type { SlotView } from '../../state/routing/send-slots.js';
 import type { TrafficSplit } from '../../state/routing/traffic-split.js';
 import type { WeightVersions } from '../../state/routing/weight-versions.js';
 import type { CrashProtection } from './crash-protection.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
-import type { LimitNews } from './limit-news.js';
+import type { EngineLimitDiscovery } from './engine-limit-discovery.js';
 import type { TenantQuotas } from './quota/tenant-quotas.js';
 import type { Rejections } from './rejections.js';
 
@@ -56,8 +56,8 @@
   readonly registry: EngineRegistry;
   readonly loads: LoadTable;
   readonly health: EngineHealth;
-  readonly limitNews: LimitNews;
-  readonly kept: KeptPrefixes;
+  readonly limitNews: EngineLimitDiscovery;
+  readonly kept: CachedPrefixes;
   readonly versions: WeightVersions;
   /** Requests this router has sent to engines. */
   readonly requestRate: SendRate;
@@ -66,7 +66,7 @@
   /** Share of the group's requests that come to this router, above 0 to 1. */
   shareOfTraffic(): number;
   /** What this router's turns at limited engines are decided by, now. */
-  turnView(this: void): TurnView;
+  turnView(this: void): SlotView;
   readonly split: TrafficSplit;
   readonly retryBudgets: ServiceRetryBudgets;
   readonly group: GroupView;
--- a/src/coordination/gateway/gateway-node.ts
+++ b/src/coordination/gateway/gateway-node.ts
@@ -14,7 +14,7 @@
 import { EngineHealth } from '../../state/routing/engine-health.js';
 import type { EngineRegistry } from '../../state/routing/engine-registry.js';
 import { HomeRanking } from '../../state/routing/home-ranking.js';
-import { KeptPrefixes } from '../../state/routing/kept-prefixes.js';
+import { CachedPrefixes } from '../../state/routing/cached-prefixes.js';
 import { LoadTable } from '../../state/routing/load-table.js';
 import { SendRate } from '../../state/routing/send-rate.js';
 import { StoreEras } from '../../state/routing/store-eras.js';
@@ -32,7 +32,7 @@
 import { GroupExchange } from './group-exchange.js';
 import { GroupEventTarget } from './group-event-target.js';
 import { GroupMembership, SETTLING_MS } from './group-membership.js';
-import { LimitNews } from './limit-news.js';
+import { EngineLimitDiscovery } from './engine-limit-discovery.js';
 import { ListedEngines } from './listed-engines.js';
 import { type ObjectDecoder, valueOrLog } from './object-decoder.js';
 import { Rejections } from './rejections.js';
@@ -41,7 +41,7 @@
 import { StoreFollowers } from './store-followers.js';
 import { StoreRelay } from './store-relay/store-relay.js';
 import { TrafficShare } from './traffic-share.js';
-import { VersionNews } from './version-news.js';
+import { WeightVersionDiscovery } from './weight-version-discovery.js';
 import type { WeightCoordinator } from './weight-coordinator.js';
 
 /** What a router takes from its surroundings. */
@@ -71,7 +71,7 @@
   private readonly registry: EngineRegistry;
   private readonly loads: LoadTable;
   private readonly health = new EngineHealth();
-  private readonly kept = new KeptPrefixes();
+  private readonly kept = new CachedPrefixes();
   private readonly outages = new StoreOutages();
   private readonly versions: WeightVersions;
   private readonly requestRate = new SendRate();
@@ -83,7 +83,7 @@
   private readonly crashes: CrashProtection;
   private readonly exchange: GroupExchange;
   private readonly coordinator: WeightCoordinator;
-  private readonly versionNews: VersionNews;
+  private readonly versionNews: WeightVersionDiscovery;
   private readonly directory: Directory;
   private readonly timers: Timer[] = [];
   private isLeaving = false;
@@ -141,7 +141,7 @@
       announce: () => group.reportNow(),
       endCalls: (fingerprint) => this.endQuarantined(fingerprint),
     });
-    const limitNews = new LimitNews({
+    const limitNews = new EngineLimitDiscovery({
       limits: this.health.limits,
       statistics: this.statistics,
       clock,
@@ -211,7 +211,7 @@
       random,
       logger,
     });
-    this.versionNews = new VersionNews(
+    this.versionNews = new WeightVersionDiscovery(
       {
         versions: this.versions,
         decoder: surroundings.decoder,
--- a/src/coordination/gateway/gateway-statistics.ts
+++ b/src/coordination/gateway/gateway-statistics.ts
@@ -1,5 +1,5 @@
 /** Counters of one router, shown on its metrics page. */
-import { SeenNames } from './seen-names.js';
+import { BoundedNameSet } from './bounded-name-set.js';
 import { TenantTotals } from './quota/tenant-totals.js';
 
 /** Totals since the start. */
@@ -25,7 +25,7 @@
   /** Answers in which what an engine says of itself can't be read. */
   unreadableNotices = 0;
   /** Headers of engines' answers that this build does not read; each is logged once. */
-  readonly unknownEngineHeaders = new SeenNames();
+  readonly unknownEngineHeaders = new BoundedNameSet();
   unknownOutcomes = 0;
   cutAnswers = 0;
   staleProofRefusals = 0;
--- a/src/coordination/gateway/group-event-target.ts
+++ b/src/coordination/gateway/group-event-target.ts
@@ -1,30 +1,33 @@
 /** Connects the group's socket, which is bound first, with those who hear of and tell its news. */
 import type { StorePosition } from '../../runtime/store-position.js';
-import type { CrashNews } from '../../state/routing/crash-news-board.js';
+import type { CrashAnnouncements } from '../../state/routing/crash-announcement-queue.js';
 import { LoadTable } from '../../state/routing/load-table.js';
-import type { WeightsNews } from '../../state/routing/weights-news.js';
-import type { LimitNotice } from '../../state/routing/engine-limits.js';
+import type { WeightLoadAnnouncement } from '../../state/routing/weight-load-announcements.js';
+import type { EngineLimitAnnouncement } from '../../state/routing/engine-limits.js';
 import type { CrashGuard } from './crash-guard.js';
 import type { GroupEvents } from './group-reports.js';
-import type { LimitNews } from './limit-news.js';
-import type { VersionNews, VersionNotice } from './version-news.js';
+import type { EngineLimitDiscovery } from './engine-limit-discovery.js';
+import type {
+  WeightVersionDiscovery,
+  WeightVersionAnnouncement,
+} from './weight-version-discovery.js';
 import type { WeightCoordinator } from './weight-coordinator.js';
 
-const NO_CRASH_NEWS: CrashNews = { crashes: [], quarantine: [] };
+const NO_CRASH_NEWS: CrashAnnouncements = { crashes: [], quarantine: [] };
 
 /** What must exist before the group's socket is bound; whom it serves is connected after. */
 export class GroupEventTarget implements GroupEvents {
   readonly loads = new LoadTable();
   private coordinator: WeightCoordinator | undefined;
-  private versionNews: VersionNews | undefined;
+  private versionNews: WeightVersionDiscovery | undefined;
   private crashGuard: CrashGuard | undefined;
-  private limits: LimitNews | undefined;
+  private limits: EngineLimitDiscovery | undefined;
 
   connect(
     coordinator: WeightCoordinator,
-    versionNews: VersionNews,
+    versionNews: WeightVersionDiscovery,
     crashGuard: CrashGuard,
-    limits: LimitNews,
+    limits: EngineLimitDiscovery,
   ): void {
     this.coordinator = coordinator;
     this.versionNews = versionNews;
@@ -36,27 +39,27 @@
     return this.crashGuard?.hasNews ?? false;
   }
 
-  takeCrashNews(): CrashNews {
+  takeCrashNews(): CrashAnnouncements {
     return this.crashGuard?.takeNews() ?? NO_CRASH_NEWS;
   }
 
-  onCrashNews(news: CrashNews, isPassedOn: boolean): boolean {
+  onCrashNews(news: CrashAnnouncements, isPassedOn: boolean): boolean {
     return this.crashGuard?.receive(news, isPassedOn) ?? false;
   }
 
-  limitNotices(): readonly LimitNotice[] {
+  limitNotices(): readonly EngineLimitAnnouncement[] {
     return this.limits?.notices ?? [];
   }
 
-  onLimitNotice(notice: LimitNotice): void {
+  onLimitNotice(notice: EngineLimitAnnouncement): void {
     this.limits?.receive(notice);
   }
 
-  weightsNews(): readonly WeightsNews[] {
+  weightsNews(): readonly WeightLoadAnnouncement[] {
     return this.coordinator?.news ?? [];
   }
 
-  onWeightsNews(news: WeightsNews): void {
+  onWeightsNews(news: WeightLoadAnnouncement): void {
     this.coordinator?.receiveNews(news);
   }
 
@@ -68,11 +71,11 @@
     this.coordinator?.receiveLease(holder, position);
   }
 
-  versionNotices(): readonly VersionNotice[] {
+  versionNotices(): readonly WeightVersionAnnouncement[] {
     return this.versionNews?.notices ?? [];
   }
 
-  onVersionNotice(notice: VersionNotice): void {
+  onVersionNotice(notice: WeightVersionAnnouncement): void {
     this.versionNews?.receive(notice);
   }
 }
--- a/src/coordination/gateway/group-membership.ts
+++ b/src/coordination/gateway/group-membership.ts
@@ -54,7 +54,7 @@
  * come. Whether it is declared dead is the membership's decision and takes longer, since a member that
  * was declared dead wrongly has to join again, while one that is only passed over loses nothing.
  */
-export const LONGEST_SILENCE_MS = 2_500;
+export const HEARTBEAT_TIMEOUT_MS = 2_500;
 /**
  * A router that joins has heard of most others after this long, and so knows its rank and how many share
  * the work: of 195 routers that started together, 170 were known after 0.8 s and 179 after a second.
@@ -172,7 +172,7 @@
 
   /** Working members that were heard lately, by this router or by one that reported it, and itself. */
   get responding(): MemberUpdate[] {
-    return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= LONGEST_SILENCE_MS);
+    return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= HEARTBEAT_TIMEOUT_MS);
   }
 
   /** Whether it is so large that routers do not all hear each other directly. */
@@ -182,7 +182,7 @@
 
   /** Working members that this router is in touch with now, as far as it can tell, and itself. */
   get reachable(): MemberUpdate[] {
-    const longestMs = this.reports.isLarge ? LONGEST_SILENCE_MS : LONGEST_SMALL_GROUP_SILENCE_MS;
+    const longestMs = this.reports.isLarge ? HEARTBEAT_TIMEOUT_MS : LONGEST_SMALL_GROUP_SILENCE_MS;
     return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= longestMs);
   }
 
@@ -193,7 +193,7 @@
   isAvailable(nodeId: string): boolean {
     const member = this.working.find((each) => each.nodeId === nodeId);
     if (member?.status !== MemberStatus.Alive) return false;
-    return this.reports.isLarge || this.silenceMs(nodeId) <= LONGEST_SILENCE_MS;
+    return this.reports.isLarge || this.silenceMs(nodeId) <= HEARTBEAT_TIMEOUT_MS;
   }
 
   /** Time since a member was last heard, in milliseconds; Infinity where it never was. */
--- a/src/coordination/gateway/group-reports.ts
+++ b/src/coordination/gateway/group-reports.ts
@@ -18,39 +18,42 @@
   NamedWeightsSchema,
 } from '../../protocol/peer/generated/cluster_pb.js';
 import type { MemberUpdate } from '../../state/membership.js';
-import type { CrashNews } from '../../state/routing/crash-news-board.js';
-import type { LimitNotice } from '../../state/routing/engine-limits.js';
+import type { CrashAnnouncements } from '../../state/routing/crash-announcement-queue.js';
+import type { EngineLimitAnnouncement } from '../../state/routing/engine-limits.js';
 import type { LoadTable } from '../../state/routing/load-table.js';
-import { type WeightsNews, WeightsNewsBoard } from '../../state/routing/weights-news.js';
+import {
+  type WeightLoadAnnouncement,
+  WeightLoadAnnouncements,
+} from '../../state/routing/weight-load-announcements.js';
 import { decodeWork, encodeWork } from './work-codec.js';
-import { decodeCrashNews, encodeCrashNews } from './crash-news-codec.js';
+import { decodeCrashAnnouncements, encodeCrashAnnouncements } from './crash-announcement-codec.js';
 import type { GroupHeartbeats } from './group-heartbeats.js';
 import { decodeLimits, encodeLimits } from './limit-codec.js';
-import type { VersionNotice } from './version-news.js';
+import type { WeightVersionAnnouncement } from './weight-version-discovery.js';
 
 /** Where the reports take their contents from, and who receives those of other routers. */
 export interface GroupEvents {
   /** News for the next report. */
-  weightsNews(): readonly WeightsNews[];
-  onWeightsNews(news: WeightsNews): void;
+  weightsNews(): readonly WeightLoadAnnouncement[];
+  onWeightsNews(news: WeightLoadAnnouncement): void;
   /** Position of the lease on orders, while this router holds it. */
   heldLease(): StorePosition | undefined;
   onHeldLease(holder: string, position: StorePosition): void;
   /** Versions of weights that operators named lately, for each report. */
-  versionNotices(): readonly VersionNotice[];
-  onVersionNotice(notice: VersionNotice): void;
+  versionNotices(): readonly WeightVersionAnnouncement[];
+  onVersionNotice(notice: WeightVersionAnnouncement): void;
   /** Limits that engines named, changed or lifted a short while ago. */
-  limitNotices(): readonly LimitNotice[];
-  onLimitNotice(notice: LimitNotice): void;
+  limitNotices(): readonly EngineLimitAnnouncement[];
+  onLimitNotice(notice: EngineLimitAnnouncement): void;
   /** Whether {@link takeCrashNews} has anything that was not told before. */
   readonly hasCrashNews: boolean;
   /** Crashed engines and requests in quarantine, for one report. */
-  takeCrashNews(): CrashNews;
+  takeCrashNews(): CrashAnnouncements;
   /**
    * @param isPassedOn whether what is new has to be passed on, since not all routers hear each other
    * @returns true where it should not wait for the next report
    */
-  onCrashNews(news: CrashNews, isPassedOn: boolean): boolean;
+  onCrashNews(news: CrashAnnouncements, isPassedOn: boolean): boolean;
 }
 
 /** The group, as far as reports need it. */
@@ -108,7 +111,7 @@
   private sequence = 0;
   private idleReports = 0;
   private reportedVersion = 0;
-  private readonly board = new WeightsNewsBoard();
+  private readonly board = new WeightLoadAnnouncements();
   private pendingFanout = 0;
   private isStopped = false;
 
@@ -150,7 +153,7 @@
     }
     for (const notice of decodeLimits(report.limits)) this.parts.events.onLimitNotice(notice);
     const { isLarge } = this;
-    const isUrgent = this.parts.events.onCrashNews(decodeCrashNews(report), isLarge);
+    const isUrgent = this.parts.events.onCrashNews(decodeCrashAnnouncements(report), isLarge);
     if (isUrgent && isLarge) this.tellSoon(SAMPLED_FANOUT);
   }
 
@@ -158,7 +161,7 @@
   private receiveNews(weights: readonly EngineWeights[], nowMs: number): void {
     let isAnyNew = false;
     for (const { engineId, model, version, isLoading, ageMs } of weights) {
-      const news: WeightsNews = { engineId, model, version, isLoading, ageMs };
+      const news: WeightLoadAnnouncement = { engineId, model, version, isLoading, ageMs };
       if (!this.board.take(news, nowMs)) continue;
       isAnyNew = true;
       this.parts.events.onWeightsNews(news);
@@ -216,7 +219,7 @@
       ...encodeHeldLease(this.parts.events.heldLease()),
       withoutLoads,
       limits: encodeLimits(this.parts.events.limitNotices()),
-      ...encodeCrashNews(this.parts.events.takeCrashNews()),
+      ...encodeCrashAnnouncements(this.parts.events.takeCrashNews()),
       // In a small group all hear each other.
       ...(this.isLarge ? this.parts.heartbeats.share() : {}),
     });
@@ -226,7 +229,7 @@
   }
 
   /** The own news; in a large group also those of others that are still fresh. */
-  private newsToTell(): readonly WeightsNews[] {
+  private newsToTell(): readonly WeightLoadAnnouncement[] {
     const own = this.parts.events.weightsNews();
     const nowMs = this.parts.clock.now();
     for (const news of own) this.board.take(news, nowMs);
--- a/src/coordination/gateway/listed-engines.ts
+++ b/src/coordination/gateway/listed-engines.ts
@@ -9,22 +9,22 @@
 import type { ConfigurationState } from '../../state/routing/configuration-state.js';
 import type { EngineHealth } from '../../state/routing/engine-health.js';
 import { EngineRegistry } from '../../state/routing/engine-registry.js';
-import type { KeptPrefixes } from '../../state/routing/kept-prefixes.js';
+import type { CachedPrefixes } from '../../state/routing/cached-prefixes.js';
 import { CacheFeeds } from './cache-feeds.js';
 import { EngineList } from './engine-list.js';
-import { EngineLives, type Rebirth } from './engine-lives.js';
+import { EngineIncarnationTracker, type EngineRestart } from './engine-incarnation-tracker.js';
 import { FollowedFeeds } from './followed-feeds.js';
-import { CLOCK_TOLERANCE_MS } from './former-life.js';
+import { CLOCK_TOLERANCE_MS } from './previous-incarnation.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
 import type { GroupMembership } from './group-membership.js';
 import type { ObjectDecoder } from './object-decoder.js';
-import { OddEntries } from './odd-entries.js';
+import { MalformedEntries } from './malformed-entries.js';
 
 /** What this works with. */
 export interface ListedEnginesParts {
   readonly configuration: ConfigurationState;
   readonly health: EngineHealth;
-  readonly kept: KeptPrefixes;
+  readonly kept: CachedPrefixes;
   readonly engines: InferencePort;
   readonly group: GroupMembership;
   readonly statistics: GatewayStatistics;
@@ -42,16 +42,16 @@
 export interface ListedEnginesListener {
   onChanged(): void;
   /** A life of an engine is over: no order to it is under way, and what it ran may have crashed it. */
-  onReborn(rebirth: Rebirth): void;
+  onReborn(rebirth: EngineRestart): void;
   /** Called at a rebirth and once more a little later: what runs in the former life is broken. */
-  breakFormerLife(rebirth: Rebirth): void;
+  breakFormerLife(rebirth: EngineRestart): void;
 }
 
 /** The engines of one router. */
 export class ListedEngines {
   readonly registry = new EngineRegistry();
-  readonly lives: EngineLives;
-  readonly odd: OddEntries;
+  readonly lives: EngineIncarnationTracker;
+  readonly odd: MalformedEntries;
   readonly list: EngineList;
   private readonly feeds: CacheFeeds;
   private readonly followedFeeds: FollowedFeeds;
@@ -62,12 +62,12 @@
   constructor(private readonly parts: ListedEnginesParts) {
     const { registry } = this;
     const { configuration, group, statistics, clock, logger } = parts;
-    this.lives = new EngineLives(registry, statistics, logger);
+    this.lives = new EngineIncarnationTracker(registry, statistics, logger);
     this.lives.connect({
       onChanged: () => this.noteChangedSoon(),
-      onReborn: (rebirth) => this.noteReborn(rebirth),
+      onRestarted: (rebirth) => this.noteReborn(rebirth),
     });
-    this.odd = new OddEntries(statistics, clock, logger);
+    this.odd = new MalformedEntries(statistics, clock, logger);
     this.feeds = new CacheFeeds({
       ...parts,
       isOfHolder: (holder, bornMs) => this.lives.takeAnswerOf(holder, bornMs, 'cache-events'),
@@ -135,7 +135,7 @@
     });
   }
 
-  private noteReborn(rebirth: Rebirth): void {
+  private noteReborn(rebirth: EngineRestart): void {
     this.listener?.onReborn(rebirth);
     this.listener?.breakFormerLife(rebirth);
     // A call whose connection had just shown a sign is looked at once more.
--- a/src/coordination/gateway/weight-orders.ts
+++ b/src/coordination/gateway/load-command-sender.ts
@@ -16,19 +16,19 @@
   type EngineRegistry,
   versionAt,
 } from '../../state/routing/engine-registry.js';
-import type { KeptPrefixes } from '../../state/routing/kept-prefixes.js';
-import { type GivenOrder, OrderBook } from '../../state/routing/order-book.js';
-import type { WeightsNews } from '../../state/routing/weights-news.js';
-import type { EngineLives } from './engine-lives.js';
+import type { CachedPrefixes } from '../../state/routing/cached-prefixes.js';
+import { type LoadCommand, LoadCommands } from '../../state/routing/load-commands.js';
+import type { WeightLoadAnnouncement } from '../../state/routing/weight-load-announcements.js';
+import type { EngineIncarnationTracker } from './engine-incarnation-tracker.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
 import type { LeaseKeeper } from './lease-keeper.js';
 
 /** What orders work with. */
-export interface WeightOrdersParts {
+export interface LoadCommandSenderParts {
   readonly registry: EngineRegistry;
-  readonly lives: EngineLives;
+  readonly lives: EngineIncarnationTracker;
   readonly health: EngineHealth;
-  readonly kept: KeptPrefixes;
+  readonly kept: CachedPrefixes;
   readonly engines: InferencePort;
   readonly lease: LeaseKeeper;
   readonly statistics: GatewayStatistics;
@@ -37,7 +37,7 @@
 }
 
 /** How orders are given. */
-export interface WeightOrdersSettings {
+export interface LoadCommandSenderSettings {
   /** Name of this router in its orders. */
   readonly holder: string;
   /** Sends the other routers at once what is new. */
@@ -49,14 +49,14 @@
 const POLL_PERIOD_MS = 200;
 
 /** The orders of one router. */
-export class WeightOrders {
-  private readonly book = new OrderBook();
+export class LoadCommandSender {
+  private readonly book = new LoadCommands();
   private lastPollMs = -Infinity;
   private isLeaving = false;
 
   constructor(
-    private readonly parts: WeightOrdersParts,
-    private readonly settings: WeightOrdersSettings,
+    private readonly parts: LoadCommandSenderParts,
+    private readonly settings: LoadCommandSenderSettings,
   ) {}
 
   /** No further order leaves this router; those under way are followed to their end. */
@@ -65,7 +65,7 @@
   }
 
   /** What the other routers should know. */
-  get news(): WeightsNews[] {
+  get news(): WeightLoadAnnouncement[] {
     return this.book.news(this.now);
   }
 
@@ -201,7 +201,7 @@
     if (!isTaken) this.giveOrderUp(engine.record.id);
   }
 
-  private async pollEngine(engineId: string, order: GivenOrder): Promise<void> {
+  private async pollEngine(engineId: string, order: LoadCommand): Promise<void> {
     const engine = this.parts.registry.find(engineId);
     if (!engine) {
       this.book.forget(engineId);
--- a/src/coordination/gateway/odd-entries.ts
+++ b/src/coordination/gateway/malformed-entries.ts
@@ -18,7 +18,7 @@
 const UNNAMED = '';
 
 /** The odd entries that one router has met. */
-export class OddEntries {
+export class MalformedEntries {
   private readonly positions = new Map<string, StorePosition>();
   private windowBeganMs = -Infinity;
   private lines = 0;
--- a/src/coordination/gateway/former-life.ts
+++ b/src/coordination/gateway/previous-incarnation.ts
@@ -4,8 +4,8 @@
  * though this router took it for the former one, and its connection alone shows how it ends.
  */
 import type { Clock } from '../../runtime/clock.js';
-import { isLaterLife } from '../../state/routing/engine-incarnation.js';
-import type { Rebirth } from './engine-lives.js';
+import { isLaterIncarnation } from '../../state/routing/engine-incarnation.js';
+import type { EngineRestart } from './engine-incarnation-tracker.js';
 import type { Send } from './send.js';
 
 /** Clocks of machines differ by less: a send that is older by this than the new life was the former one's. */
@@ -17,9 +17,13 @@
 const SILENCE_MS = 250;
 
 /** Whether a send is certain to belong to the life that is over, and shows no sign any more. */
-export function isOfFormerLife(send: Send, { former, bornMs }: Rebirth, clock: Clock): boolean {
+export function belongsToPreviousIncarnation(
+  send: Send,
+  { former, bornMs }: EngineRestart,
+  clock: Clock,
+): boolean {
   const { name, bornMs: meantMs } = send.placement.engine.record;
-  if (name !== former.name || !isLaterLife(bornMs, meantMs)) return false;
+  if (name !== former.name || !isLaterIncarnation(bornMs, meantMs)) return false;
   const now = clock.now();
   const sentWallMs = clock.wallNow() - (now - send.sentMs);
   return sentWallMs < bornMs - CLOCK_TOLERANCE_MS && now - send.lastSignMs >= SILENCE_MS;
--- a/src/coordination/gateway/quota/group-quota-view.ts
+++ b/src/coordination/gateway/quota/group-quota-view.ts
@@ -1,5 +1,5 @@
 /** What the quotas see of the group; computed anew only now and then, since each request asks for it. */
-import { type GroupMembership, LONGEST_SILENCE_MS } from '../group-membership.js';
+import { type GroupMembership, HEARTBEAT_TIMEOUT_MS } from '../group-membership.js';
 import { totalCapacity } from '../../../state/total-capacity.js';
 import type { QuotaGroup } from './quota-group.js';
 
@@ -70,7 +70,7 @@
   }
 
   private get longestSilenceMs(): number {
-    return this.group.isLarge ? LONGEST_SILENCE_MS : SMALL_GROUP_SILENCE_MS;
+    return this.group.isLarge ? HEARTBEAT_TIMEOUT_MS : SMALL_GROUP_SILENCE_MS;
   }
 
   private nodeIdAt(address: string): string | undefined {
--- a/src/coordination/gateway/quota/quota-questions.ts
+++ b/src/coordination/gateway/quota/quota-queries.ts
@@ -7,13 +7,13 @@
   type QuotaAnswer,
   QuotaQuestionSchema,
 } from '../../../protocol/peer/generated/cluster_pb.js';
-import type { AccountantRanking } from '../../../state/routing/quota/accountant-ranking.js';
+import type { QuotaOwnerRanking } from '../../../state/routing/quota/quota-owner-ranking.js';
 import type { ChargeRequest } from '../../../state/routing/quota/tenant-account.js';
 import type { AccountedVerdict } from './quota-accounts.js';
 import type { QuotaGroup } from './quota-group.js';
 
 /** A charge that is asked for. */
-export interface Question extends ChargeRequest {
+export interface QuotaQuery extends ChargeRequest {
   readonly tenant: string;
   /** Whether it is asked for another router. */
   readonly isForwarded: boolean;
@@ -37,7 +37,7 @@
 const HIGHEST_FIRST_NUMBER = 2 ** 31;
 
 interface PendingQuestion {
-  readonly question: Question;
+  readonly question: QuotaQuery;
   readonly onVerdict: OnVerdict;
   /** Addresses that are left to ask, the present one first. */
   readonly accountants: string[];
@@ -46,14 +46,14 @@
 }
 
 /** The questions under way. */
-export class QuotaQuestions {
+export class QuotaQueries {
   private readonly pending = new Map<number, PendingQuestion>();
   /** Begins where no earlier life of this router has been, since answers are kept by number. */
   private lastNumber: number;
 
   constructor(
     private readonly group: QuotaGroup,
-    private readonly ranking: AccountantRanking,
+    private readonly ranking: QuotaOwnerRanking,
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {
@@ -61,7 +61,7 @@
   }
 
   /** @param accountants addresses of other routers, in the order in which they are asked */
-  ask(question: Question, accountants: readonly string[], onVerdict: OnVerdict): void {
+  ask(question: QuotaQuery, accountants: readonly string[], onVerdict: OnVerdict): void {
     if (accountants.length === 0) {
       onVerdict(undefined);
       return;
--- a/src/coordination/gateway/quota/tenant-quotas.ts
+++ b/src/coordination/gateway/quota/tenant-quotas.ts
@@ -21,7 +21,7 @@
 import type { ConfigurationState } from '../../../state/routing/configuration-state.js';
 import type { Tenant } from '../../../state/routing/configuration.js';
 import type { HomeRanking } from '../../../state/routing/home-ranking.js';
-import { AccountantRanking } from '../../../state/routing/quota/accountant-ranking.js';
+import { QuotaOwnerRanking } from '../../../state/routing/quota/quota-owner-ranking.js';
 import { IsolatedShare } from '../../../state/routing/quota/isolated-share.js';
 import type { ChargeRequest } from '../../../state/routing/quota/tenant-account.js';
 import {
@@ -32,7 +32,7 @@
 import type { GatewayStatistics } from '../gateway-statistics.js';
 import { type AccountedVerdict, QuotaAccounts } from './quota-accounts.js';
 import type { QuotaGroup } from './quota-group.js';
-import { type OnVerdict, QuotaQuestions } from './quota-questions.js';
+import { type OnVerdict, QuotaQueries } from './quota-queries.js';
 
 /** What the quotas work with. */
 export interface QuotaParts {
@@ -68,9 +68,9 @@
 
 /** Quotas at one router. */
 export class TenantQuotas {
-  private readonly ranking: AccountantRanking;
+  private readonly ranking: QuotaOwnerRanking;
   private readonly accounts: QuotaAccounts;
-  private readonly questions: QuotaQuestions;
+  private readonly questions: QuotaQueries;
   private readonly shares = new Map<string, IsolatedShare>();
   private readonly watchedUntilMs = new Map<string, number>();
   /** Questions of other routers that wait for an answer of the router asked in their place. */
@@ -79,11 +79,11 @@
 
   constructor(private readonly parts: QuotaParts) {
     const { configuration, group, tolerance, clock, logger, homes } = parts;
-    this.ranking = new AccountantRanking(homes, group);
+    this.ranking = new QuotaOwnerRanking(homes, group);
     this.accounts = new QuotaAccounts(configuration, group, tolerance, clock, (tenant, watchMs) =>
       this.announceWatch(tenant, watchMs),
     );
-    this.questions = new QuotaQuestions(group, this.ranking, clock, logger);
+    this.questions = new QuotaQueries(group, this.ranking, clock, logger);
   }
 
   /**
--- a/src/coordination/gateway/request-call.ts
+++ b/src/coordination/gateway/request-call.ts
@@ -18,9 +18,9 @@
 import { CallCrashes } from './call-crashes.js';
 import { CallQuota } from './call-quota.js';
 import { CallState } from './call-state.js';
-import { CallPatience, type ImpatienceReason } from './call-patience.js';
-import type { Rebirth } from './engine-lives.js';
-import { isOfFormerLife } from './former-life.js';
+import { SendTimeouts, type SendTimeoutReason } from './send-timeouts.js';
+import type { EngineRestart } from './engine-incarnation-tracker.js';
+import { belongsToPreviousIncarnation } from './previous-incarnation.js';
 import type { GatewayContext } from './gateway-context.js';
 import { type Grant, admitRequest, serviceOf } from './request-admission.js';
 import { CRASHES_ENGINES, LARGER_THAN_LIMIT } from './final-answers.js';
@@ -47,7 +47,7 @@
   private mayHaveRun = false;
   private deadlineMs = Infinity;
   private deadlineTimer: Timer | undefined;
-  private readonly patience: CallPatience;
+  private readonly patience: SendTimeouts;
   private readonly answer: CallAnswer;
   /** Sent though the estimate said that it would end too late. */
   private isSample = false;
@@ -61,7 +61,7 @@
     private readonly onFinished: () => void,
   ) {
     this.answer = new CallAnswer(reply);
-    this.patience = new CallPatience(context.clock, (reason) => this.onImpatient(reason));
+    this.patience = new SendTimeouts(context.clock, (reason) => this.onImpatient(reason));
     this.crashes = new CallCrashes(request, context.crashes, () => this.grant);
     this.quota = new CallQuota(request, context.quotas);
   }
@@ -319,7 +319,7 @@
     else this.patience.cancel();
   }
 
-  private onImpatient(reason: ImpatienceReason): void {
+  private onImpatient(reason: SendTimeoutReason): void {
     const { send } = this;
     if (!send || this.state === CallState.Finished) return;
     if (!this.canSendAgain() || !this.hasAlternative(send)) return;
@@ -337,9 +337,9 @@
   }
 
   /** An engine has started again: what only its former life can have is broken. */
-  breakFormerLife(rebirth: Rebirth): void {
+  breakFormerLife(rebirth: EngineRestart): void {
     if (!this.send || this.state === CallState.Finished) return;
-    const isFormer = isOfFormerLife(this.send, rebirth, this.context.clock);
+    const isFormer = belongsToPreviousIncarnation(this.send, rebirth, this.context.clock);
     if (isFormer) this.send.breakOff('engine-reborn');
   }
 
--- a/src/coordination/gateway/begin-watch.ts
+++ b/src/coordination/gateway/run-start-deadline.ts
@@ -7,7 +7,7 @@
 import type { WeightVersions } from '../../state/routing/weight-versions.js';
 
 /** What a watch reads. */
-export interface BeginWatchParts {
+export interface RunStartDeadlineParts {
   readonly versions: WeightVersions;
   readonly clock: Clock;
 }
@@ -16,7 +16,7 @@
 const RECHECK_MS = 200;
 
 /** The watch over one send, until its request has begun. */
-export class BeginWatch {
+export class RunStartDeadline {
   private timer: Timer | undefined;
 
   /**
@@ -26,7 +26,7 @@
   constructor(
     private readonly model: string,
     private readonly version: number,
-    private readonly parts: BeginWatchParts,
+    private readonly parts: RunStartDeadlineParts,
     private readonly onExpired: () => void,
   ) {
     this.arm();
--- a/src/coordination/gateway/call-patience.ts
+++ b/src/coordination/gateway/send-timeouts.ts
@@ -2,7 +2,7 @@
 import type { Clock, Timer } from '../../runtime/clock.js';
 
 /** Why a send was given up. */
-export type ImpatienceReason = 'no-answer' | 'stalled';
+export type SendTimeoutReason = 'no-answer' | 'stalled';
 
 /** A repeatable request is sent elsewhere after this many objectives without an answer. */
 const PATIENCE_FACTOR = 1.25;
@@ -11,12 +11,12 @@
 const STALL_MS = 1_200;
 
 /** The patience with the send that is under way; one wait at a time. */
-export class CallPatience {
+export class SendTimeouts {
   private timer: Timer | undefined;
 
   constructor(
     private readonly clock: Clock,
-    private readonly onImpatient: (reason: ImpatienceReason) => void,
+    private readonly onImpatient: (reason: SendTimeoutReason) => void,
   ) {}
 
   /** Waits for the head of an answer, unless the caller's time is over sooner. Times in milliseconds. */
--- a/src/coordination/gateway/send.ts
+++ b/src/coordination/gateway/send.ts
@@ -15,11 +15,11 @@
 } from '../../state/routing/placement.js';
 import { RejectionReason } from '../../state/routing/rejection.js';
 import { StorePressure, storePressure } from '../../state/routing/save-choice.js';
-import { BeginWatch } from './begin-watch.js';
+import { RunStartDeadline } from './run-start-deadline.js';
 import { noteEngineNotice } from './engine-notices.js';
 import type { GatewayContext } from './gateway-context.js';
 import type { GenerationShape } from '../../state/routing/generation.js';
-import type { AnsweredRequest } from './limit-news.js';
+import type { AnsweredRequest } from './engine-limit-discovery.js';
 import { LoadShare } from './load-share.js';
 import type { Grant } from './request-admission.js';
 import type { InboundRequest } from './reply.js';
@@ -119,7 +119,7 @@
 export class Send implements ExchangeListener {
   private readonly exchange: Exchange;
   private readonly load: LoadShare;
-  private readonly beginWatch: BeginWatch | undefined;
+  private readonly beginWatch: RunStartDeadline | undefined;
   readonly sentMs: number;
   private headMs: number | undefined;
   private firstChunkMs: number | undefined;
@@ -219,12 +219,12 @@
   }
 
   /** Generations run on weights, and these may run out of their time before the engine begins. */
-  private watchBeginning(): BeginWatch | undefined {
+  private watchBeginning(): RunStartDeadline | undefined {
     const { generation, context } = this;
     const { expectedVersion } = this.placement;
     if (!generation || expectedVersion === undefined) return undefined;
     const withdraw = (): void => this.withdraw();
-    return new BeginWatch(generation.model, expectedVersion, context, withdraw);
+    return new RunStartDeadline(generation.model, expectedVersion, context, withdraw);
   }
 
   /** The engine may have begun just now, so the request counts as one that may have run. */
--- a/src/coordination/gateway/store-relay/reader-choice.ts
+++ b/src/coordination/gateway/store-relay/reader-choice.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../../../runtime/clock.js';
 import type { MemberUpdate } from '../../../state/membership.js';
-import { PassedOver } from '../../../state/routing/passed-over.js';
+import { PeerCooldowns } from '../../../state/routing/peer-cooldowns.js';
 import {
   type ReaderPolicy,
   chooseReaders,
@@ -25,9 +25,9 @@
 /** The choice of one router. */
 export class ReaderChoice {
   /** Readers that did not answer. */
-  private readonly silent = new PassedOver(AVOID_MS);
+  private readonly silent = new PeerCooldowns(AVOID_MS);
   /** Readers that answered without a recent proof: their way to the store is lost. */
-  private readonly outdated = new PassedOver(AVOID_MS);
+  private readonly outdated = new PeerCooldowns(AVOID_MS);
 
   private chosenAmong: readonly MemberUpdate[] | undefined;
   private chosenReaders: readonly MemberUpdate[] = [];
--- a/src/coordination/gateway/traffic-share.ts
+++ b/src/coordination/gateway/traffic-share.ts
@@ -5,7 +5,7 @@
  */
 import type { MemberUpdate } from '../../state/membership.js';
 import { totalCapacity } from '../../state/total-capacity.js';
-import type { TurnInterval } from '../../state/routing/send-turns.js';
+import type { SlotInterval } from '../../state/routing/send-slots.js';
 
 /** The group, as far as the share needs it. */
 export interface SharingGroup {
@@ -21,7 +21,7 @@
 export class TrafficShare {
   private among: readonly MemberUpdate[] | undefined;
   private share = 1;
-  private ownInterval: TurnInterval | undefined;
+  private ownInterval: SlotInterval | undefined;
 
   /** @param capacity this router's share of a processor core, in thousandths */
   constructor(
@@ -36,7 +36,7 @@
   }
 
   /** Its part of the line from 0 to 1; undefined while it takes no part, or does not know the group yet. */
-  get interval(): TurnInterval | undefined {
+  get interval(): SlotInterval | undefined {
     if (!this.group.isSettled) return undefined;
     this.refresh();
     return this.ownInterval;
@@ -54,7 +54,7 @@
 }
 
 /** Members lie side by side in the order of their identifiers, each as long as its share of the capacity. */
-function intervalAmong(members: readonly MemberUpdate[], nodeId: string): TurnInterval | undefined {
+function intervalAmong(members: readonly MemberUpdate[], nodeId: string): SlotInterval | undefined {
   const total = totalCapacity(members);
   const shareOf = (member: MemberUpdate): number =>
     total > 0 ? member.capacity / total : 1 / members.length;
--- a/src/coordination/gateway/weight-coordinator.ts
+++ b/src/coordination/gateway/weight-coordinator.ts
@@ -6,7 +6,7 @@
 import type { StorePosition } from '../../runtime/store-position.js';
 import type { Engine } from '../../state/routing/engine-registry.js';
 import type { LoadTable } from '../../state/routing/load-table.js';
-import { OrderTurn } from '../../state/routing/order-turn.js';
+import { CoordinatorSuccession } from '../../state/routing/coordinator-succession.js';
 import type { SendRate } from '../../state/routing/send-rate.js';
 import {
   type RolloutObservations,
@@ -15,24 +15,24 @@
   type RolloutView,
   planRollout,
 } from '../../state/routing/weight-rollout.js';
-import type { WeightsNews } from '../../state/routing/weights-news.js';
+import type { WeightLoadAnnouncement } from '../../state/routing/weight-load-announcements.js';
 import type { WeightVersions } from '../../state/routing/weight-versions.js';
 import { RolloutReport } from './rollout-report.js';
 import {
-  WeightOrders,
-  type WeightOrdersParts,
-  type WeightOrdersSettings,
-} from './weight-orders.js';
+  LoadCommandSender,
+  type LoadCommandSenderParts,
+  type LoadCommandSenderSettings,
+} from './load-command-sender.js';
 
 /** What a coordinator works with. */
-export interface CoordinatorParts extends WeightOrdersParts {
+export interface CoordinatorParts extends LoadCommandSenderParts {
   readonly versions: WeightVersions;
   readonly loads: LoadTable;
   readonly requestRate: SendRate;
 }
 
 /** How a coordinator takes part. */
-export interface CoordinatorSettings extends WeightOrdersSettings {
+export interface CoordinatorSettings extends LoadCommandSenderSettings {
   readonly rollout: RolloutSettings;
   /** Whether the configuration has a service of this name: engines of others get no orders. */
   isKnownService(service: string): boolean;
@@ -50,8 +50,8 @@
 
 /** The coordinator of one router. */
 export class WeightCoordinator {
-  private readonly orders: WeightOrders;
-  private readonly turn: OrderTurn;
+  private readonly orders: LoadCommandSender;
+  private readonly turn: CoordinatorSuccession;
   private readonly report: RolloutReport;
   private behindSinceMs: number | undefined;
   private timer: Timer | undefined;
@@ -64,9 +64,9 @@
     private readonly settings: CoordinatorSettings,
   ) {
     const { holder, respondingRouters, isAvailable } = settings;
-    this.turn = new OrderTurn(holder, respondingRouters, isAvailable);
+    this.turn = new CoordinatorSuccession(holder, respondingRouters, isAvailable);
     this.report = new RolloutReport(parts.statistics, parts.logger);
-    this.orders = new WeightOrders(parts, settings);
+    this.orders = new LoadCommandSender(parts, settings);
   }
 
   start(): void {
@@ -84,12 +84,12 @@
   }
 
   /** What the other routers should know. */
-  get news(): WeightsNews[] {
+  get news(): WeightLoadAnnouncement[] {
     return this.orders.news;
   }
 
   /** Takes what another router tells. */
-  receiveNews(news: WeightsNews): void {
+  receiveNews(news: WeightLoadAnnouncement): void {
     const { registry, lives } = this.parts;
     if (!registry.find(news.engineId)) lives.noteIncarnation(news.engineId);
     const engine = registry.find(news.engineId);
--- a/src/coordination/gateway/version-news.ts
+++ b/src/coordination/gateway/weight-version-discovery.ts
@@ -11,7 +11,7 @@
 import { type ObjectDecoder, valueOrLog } from './object-decoder.js';
 
 /** A version as one router tells it to another. */
-export interface VersionNotice {
+export interface WeightVersionAnnouncement {
   readonly model: string;
   readonly version: number;
   /** Time since the teller can first have known of it, in milliseconds. */
@@ -19,7 +19,7 @@
 }
 
 /** What the news work with. */
-export interface VersionNewsParts {
+export interface WeightVersionDiscoveryParts {
   readonly versions: WeightVersions;
   readonly decoder: ObjectDecoder;
   /** Steady time at which the process started: a router is held to its bounds a fixed time after that. */
@@ -47,7 +47,7 @@
 type VersionOrigin = 'watch' | 'list' | 'router';
 
 /** The versions that one router has heard of. */
-export class VersionNews {
+export class WeightVersionDiscovery {
   private hasList = false;
   private answers = 0;
   /** Whether the last call was answered by the store itself, so that a change is shown as it happens. */
@@ -62,7 +62,7 @@
    * @param announce tells the other routers at once
    */
   constructor(
-    private readonly parts: VersionNewsParts,
+    private readonly parts: WeightVersionDiscoveryParts,
     private readonly unseenAgeMs: number,
     private readonly announce: () => void,
   ) {}
@@ -112,12 +112,12 @@
   }
 
   /** Takes what another router tells. */
-  receive({ model, version, ageMs }: VersionNotice): void {
+  receive({ model, version, ageMs }: WeightVersionAnnouncement): void {
     this.note(model, version, 'router', ageMs);
   }
 
   /** What the other routers should know. */
-  get notices(): VersionNotice[] {
+  get notices(): WeightVersionAnnouncement[] {
     const { versions, clock } = this.parts;
     const nowMs = clock.now();
     return versions.models.flatMap((model) =>
--- a/src/lab/gateway-world/gateway-oracle.ts
+++ b/src/lab/gateway-simulation/gateway-oracle.ts
@@ -1,7 +1,7 @@
 /** Judges a finished run of the simulated deployment by what callers, engines and operator saw. */
 import { cacheSaltOf } from '../../state/routing/generation.js';
 import { CONTACT_MS } from './disturbances.js';
-import type { GatewayWorld, ObservedRequest } from './gateway-world.js';
+import type { GatewaySimulation, ObservedRequest } from './gateway-simulation.js';
 import type { ObservedRun } from './simulated-engine.js';
 import { STREAM_PIECES, pieceOf, plainBodyOf } from './simulated-exchange.js';
 import { type LimitBreach, judgeLimits } from './limit-oracle.js';
@@ -9,10 +9,10 @@
 import { type QuotaBreach, judgeQuotas } from './quota-oracle.js';
 import {
   ISOLATED_TENANT,
-  WORLD_BOUNDS,
-  WORLD_MODEL,
-  WORLD_QUOTA_TOLERANCE,
-} from './world-fixtures.js';
+  SIMULATION_BOUNDS,
+  SIMULATION_MODEL,
+  SIMULATION_QUOTA_TOLERANCE,
+} from './simulation-fixtures.js';
 
 /** The rules that are judged. */
 export type GatewayRule =
@@ -54,7 +54,7 @@
 const MAXIMUM_LATE_CRASHES = 3;
 
 /** All broken rules of a run. */
-export function findBreaches(world: GatewayWorld): RuleBreach[] {
+export function findBreaches(world: GatewaySimulation): RuleBreach[] {
   const runsById = groupRuns(world.observations.runs);
   const breaches = world.requests.flatMap((request) =>
     judgeRequest(request, runsById.get(request.id) ?? [], world),
@@ -69,12 +69,12 @@
     ...judgeStrays(world),
     ...judgeNotices(world),
     ...judgeLimits(world),
-    ...judgeQuotas(world, WORLD_QUOTA_TOLERANCE),
+    ...judgeQuotas(world, SIMULATION_QUOTA_TOLERANCE),
   ];
 }
 
 /** An entry of another writer names no engine to use: neither requests nor orders go there. */
-function judgeStrays(world: GatewayWorld): RuleBreach[] {
+function judgeStrays(world: GatewaySimulation): RuleBreach[] {
   return world.observations.strays.map(({ entry, router, atMs }) => ({
     rule: 'odd-entry-unused' as const,
     detail: `${router} used ${entry} at ${atMs} ms`,
@@ -82,7 +82,7 @@
 }
 
 /** A request under which three engines have crashed reaches at most three more, a while later. */
-function judgeCrashes(world: GatewayWorld): RuleBreach[] {
+function judgeCrashes(world: GatewaySimulation): RuleBreach[] {
   const { crashes } = world.observations;
   return [...new Set(crashes.map(({ request }) => request))].flatMap((request) => {
     const own = crashes.filter((crash) => crash.request === request);
@@ -99,7 +99,7 @@
 }
 
 /** Once everything has come to rest, each engine has the newest weights. */
-function judgeWeights(world: GatewayWorld): RuleBreach[] {
+function judgeWeights(world: GatewaySimulation): RuleBreach[] {
   const behind = world.fleet.generationEngines.filter(
     (engine) => engine.weightsVersion < world.namedVersion,
   );
@@ -110,7 +110,7 @@
 }
 
 /** No request begins on older weights a while after newer ones were named, counted over calm time. */
-function judgeBeginnings(world: GatewayWorld): RuleBreach[] {
+function judgeBeginnings(world: GatewaySimulation): RuleBreach[] {
   const namings = world.acknowledgements.filter(({ kind }) => kind === 'weights-named');
   return world.observations.runs.flatMap((run) => {
     if (run.salt === undefined || world.disturbances.isDisturbed(run.router, run.startedMs))
@@ -118,7 +118,7 @@
     const newer = namings.find(({ subject }) => Number(subject) > run.weightsVersion);
     const calmSinceMs = world.disturbances.calmSinceMs(run.startedMs);
     if (!newer || calmSinceMs === undefined) return [];
-    const lateMs = run.startedMs - Math.max(newer.atMs, calmSinceMs) - WORLD_BOUNDS.versionMs;
+    const lateMs = run.startedMs - Math.max(newer.atMs, calmSinceMs) - SIMULATION_BOUNDS.versionMs;
     if (lateMs <= 0) return [];
     const detail = `${run.requestId} began on ${run.weightsVersion} at ${run.engineId}, ${lateMs} ms late`;
     return [{ rule: 'weights-on-time' as const, detail }];
@@ -138,7 +138,7 @@
 function judgeRequest(
   request: ObservedRequest,
   runs: readonly ObservedRun[],
-  world: GatewayWorld,
+  world: GatewaySimulation,
 ): RuleBreach[] {
   return [
     ...judgeRunCount(request, runs),
@@ -186,18 +186,18 @@
 function judgeKey(
   request: ObservedRequest,
   runs: readonly ObservedRun[],
-  world: GatewayWorld,
+  world: GatewaySimulation,
 ): RuleBreach[] {
   return runs.flatMap((run) => {
     const removal = lastRemoval(request.key, run.startedMs, world);
-    if (removal === undefined || request.sentMs <= removal + WORLD_BOUNDS.revokeMs) return [];
+    if (removal === undefined || request.sentMs <= removal + SIMULATION_BOUNDS.revokeMs) return [];
     const lateMs = Math.round(run.startedMs - removal);
     return [{ rule: 'key-removed' as const, detail: `${request.id} ran ${lateMs} ms after` }];
   });
 }
 
 /** When the key was last taken away, where it was not given back before the run. */
-function lastRemoval(key: string, atMs: number, world: GatewayWorld): number | undefined {
+function lastRemoval(key: string, atMs: number, world: GatewaySimulation): number | undefined {
   const changes = world.acknowledgements.filter(
     (ack) => (ack.kind === 'key-removed' || ack.kind === 'key-added') && ack.subject === key,
   );
@@ -209,13 +209,13 @@
   return runs.flatMap((run) => {
     if (run.salt === undefined) return [];
     const isolated = request.tenant === ISOLATED_TENANT ? request.tenant : undefined;
-    const expected = cacheSaltOf(WORLD_MODEL, run.weightsVersion, isolated);
+    const expected = cacheSaltOf(SIMULATION_MODEL, run.weightsVersion, isolated);
     if (run.salt === expected) return [];
     return [{ rule: 'own-salt' as const, detail: `${request.id}: ${run.salt} for ${expected}` }];
   });
 }
 
-function judgeTime(request: ObservedRequest, world: GatewayWorld): RuleBreach[] {
+function judgeTime(request: ObservedRequest, world: GatewaySimulation): RuleBreach[] {
   const isLong = world.now > request.sentMs + REQUEST_BUDGET_MS + ANSWER_SLACK_MS;
   if (!isLong || request.reply.ending !== undefined) return [];
   return [{ rule: 'answered-in-time', detail: `${request.id} has no end` }];
@@ -231,10 +231,10 @@
   });
 }
 
-function judgeDrains(world: GatewayWorld): RuleBreach[] {
+function judgeDrains(world: GatewaySimulation): RuleBreach[] {
   const drains = world.acknowledgements.filter((ack) => ack.kind === 'engine-draining');
   return drains.flatMap((drain) => {
-    const limitMs = drain.atMs + WORLD_BOUNDS.drainMs + DRAIN_SLACK_MS;
+    const limitMs = drain.atMs + SIMULATION_BOUNDS.drainMs + DRAIN_SLACK_MS;
     const late = world.observations.runs.find(
       (run) =>
         run.engineId === drain.subject &&
@@ -250,13 +250,13 @@
  * One token belongs to one holder, tokens never fall, and holders do not take turns at once. Orders are
  * judged as they were sent: one that the network holds up may arrive at a life that knows no token yet.
  */
-function judgeOrders(world: GatewayWorld): RuleBreach[] {
+function judgeOrders(world: GatewaySimulation): RuleBreach[] {
   const orders = [...world.observations.orders].sort((a, b) => a.sentMs - b.sentMs);
   return orders.slice(1).flatMap((order, index) => {
     const before = orders[index] as (typeof orders)[number];
     if (before.holder === order.holder) return [];
     const gapMs = order.sentMs - before.sentMs;
-    if (order.token > before.token && gapMs >= WORLD_BOUNDS.leaseMs) return [];
+    if (order.token > before.token && gapMs >= SIMULATION_BOUNDS.leaseMs) return [];
     const detail = `${before.holder} (${before.token}), ${order.holder} (${order.token}), ${gapMs} ms`;
     return [{ rule: 'one-holder' as const, detail }];
   });
--- a/src/lab/gateway-world/gateway-world.ts
+++ b/src/lab/gateway-simulation/gateway-simulation.ts
@@ -30,13 +30,13 @@
   PLAIN_SERVICE,
   ROUTERS,
   type RequestKind,
-  WORLD_MODEL,
+  SIMULATION_MODEL,
   inboundRequest,
   routerName,
-  worldConfiguration,
-  worldSettings,
-} from './world-fixtures.js';
-import type { RouterView, WorldMutation } from './world-mutation.js';
+  simulationConfiguration,
+  simulationSettings,
+} from './simulation-fixtures.js';
+import type { RouterView, SimulationMutation } from './simulation-mutation.js';
 
 /** A request and what became of it. */
 export interface ObservedRequest {
@@ -79,7 +79,7 @@
 }
 
 /** The deployment. */
-export class GatewayWorld {
+export class GatewaySimulation {
   readonly clock = new VirtualClock();
   readonly store: SimulatedObjectStore;
   readonly fleet: SimulatedFleet;
@@ -101,7 +101,7 @@
   private constructor(
     private readonly seed: number,
     private readonly hasher: Hasher,
-    private readonly mutation: WorldMutation,
+    private readonly mutation: SimulationMutation,
   ) {
     this.store = new SimulatedObjectStore(this.clock);
     this.operator = new SimulatedOperator(this.store);
@@ -113,14 +113,17 @@
     this.sockets = new SimulatedSockets(this.network);
   }
 
-  static async create(seed: number, mutation: WorldMutation = {}): Promise<GatewayWorld> {
-    const world = new GatewayWorld(seed, await createHasher(), mutation);
+  static async create(seed: number, mutation: SimulationMutation = {}): Promise<GatewaySimulation> {
+    const world = new GatewaySimulation(seed, await createHasher(), mutation);
     for (const tenant of KEYS.keys()) {
       const limit = mutation.tenantLimit;
       if (limit) world.limitChanges.push({ tenant, limit, atMs: 0 });
     }
     world.putConfiguration();
-    world.operator.write(KINDS.weightVersions, WORLD_MODEL, { model: WORLD_MODEL, version: 1 });
+    world.operator.write(KINDS.weightVersions, SIMULATION_MODEL, {
+      model: SIMULATION_MODEL,
+      version: 1,
+    });
     for (let index = 0; index < GENERATION_ENGINES; index += 1) world.fleet.add(GENERATION_SERVICE);
     for (let index = 0; index < PLAIN_ENGINES; index += 1) world.fleet.add(PLAIN_SERVICE);
     for (let index = 0; index < ROUTERS; index += 1) await world.startRouter(index, true);
@@ -201,7 +204,10 @@
   nameWeights(): void {
     if (this.store.isDown) return;
     const version = this.namedVersion + 1;
-    this.operator.write(KINDS.weightVersions, WORLD_MODEL, { model: WORLD_MODEL, version });
+    this.operator.write(KINDS.weightVersions, SIMULATION_MODEL, {
+      model: SIMULATION_MODEL,
+      version,
+    });
     this.acknowledgements.push({ kind: 'weights-named', subject: `${version}`, atMs: this.now });
   }
 
@@ -233,7 +239,8 @@
 
   /** Newest version of the weights that was named. */
   get namedVersion(): number {
-    return (this.operator.newest(KINDS.weightVersions, WORLD_MODEL) as { version: number }).version;
+    return (this.operator.newest(KINDS.weightVersions, SIMULATION_MODEL) as { version: number })
+      .version;
   }
 
   freezeRouter(index: number, forMs: number): void {
@@ -341,7 +348,7 @@
     this.operator.write(
       KINDS.configuration,
       'main',
-      worldConfiguration(this.configurationVersion, tenants),
+      simulationConfiguration(this.configurationVersion, tenants),
     );
   }
 
@@ -357,7 +364,7 @@
     const view = { engines: inference, decoder };
     const datagrams = new SimulatedDatagramTransport(this.sockets, name);
     const node = await GatewayNode.open(
-      { ...worldSettings(name), isFirstStart, ...this.mutation.settings },
+      { ...simulationSettings(name), isFirstStart, ...this.mutation.settings },
       {
         clock: host,
         random,
--- a/src/lab/gateway-world/limit-oracle.ts
+++ b/src/lab/gateway-simulation/limit-oracle.ts
@@ -6,7 +6,7 @@
   toleratedRequests,
 } from '../limit-tolerance.js';
 import { CONTACT_MS } from './disturbances.js';
-import type { GatewayWorld } from './gateway-world.js';
+import type { GatewaySimulation } from './gateway-simulation.js';
 import type { ObservedArrival, ObservedLimit } from './simulated-engine.js';
 
 /** A rule on limits of engines that was broken. */
@@ -27,7 +27,7 @@
 }
 
 /** All limits that were passed, one for each time in which an engine named them. */
-export function judgeLimits(world: GatewayWorld): LimitBreach[] {
+export function judgeLimits(world: GatewaySimulation): LimitBreach[] {
   return limitedTimes(world.observations.limits).flatMap((time) => judgeTime(time, world));
 }
 
@@ -58,7 +58,7 @@
 }
 
 /** The first window of a time in which more requests came than the limit lets through. */
-function judgeTime(time: LimitedTime, world: GatewayWorld): LimitBreach[] {
+function judgeTime(time: LimitedTime, world: GatewaySimulation): LimitBreach[] {
   const toldMs = firstToldByRouter(time, world);
   const firstNamedMs = Math.min(Infinity, ...toldMs.values());
   const counted = world.observations.arrivals.filter((arrival) =>
@@ -78,7 +78,7 @@
 /** When each router took the first answer of that time. */
 function firstToldByRouter(
   { engineId, fromMs, untilMs }: LimitedTime,
-  { observations }: GatewayWorld,
+  { observations }: GatewaySimulation,
 ): ReadonlyMap<string, number> {
   const toldMs = new Map<string, number>();
   for (const notice of observations.notices) {
@@ -94,7 +94,7 @@
   { engineId, router, atMs }: ObservedArrival,
   time: LimitedTime,
   toldMs: ReadonlyMap<string, number>,
-  world: GatewayWorld,
+  world: GatewaySimulation,
 ): boolean {
   if (engineId !== time.engineId || atMs >= time.untilMs) return false;
   if (atMs < (toldMs.get(router) ?? Infinity) + LIMIT_ON_THE_WAY_MS) return false;
--- a/src/lab/gateway-world/odd-entry.ts
+++ b/src/lab/gateway-simulation/malformed-entry.ts
@@ -2,7 +2,7 @@
 import type { StoredEngine } from './stored-engine.js';
 
 /** What is odd about an entry. */
-export enum OddEntry {
+export enum MalformedEntry {
   FieldMissing = 'field-missing',
   OtherType = 'other-type',
   UnknownState = 'unknown-state',
@@ -14,17 +14,17 @@
 const UNKNOWN_SERVICE = 'service-of-another-writer';
 
 /** What another writer makes of an engine's entry. */
-export function oddEntryOf(odd: OddEntry, entry: StoredEngine): unknown {
+export function malformedEntryOf(odd: MalformedEntry, entry: StoredEngine): unknown {
   switch (odd) {
-    case OddEntry.FieldMissing:
+    case MalformedEntry.FieldMissing:
       return { ...entry, address: undefined };
-    case OddEntry.OtherType:
+    case MalformedEntry.OtherType:
       return { ...entry, slots: 'many', modelVersions: 7 };
-    case OddEntry.UnknownState:
+    case MalformedEntry.UnknownState:
       return { ...entry, isDraining: 'resting' };
-    case OddEntry.UnknownService:
+    case MalformedEntry.UnknownService:
       return { ...entry, service: UNKNOWN_SERVICE };
-    case OddEntry.Unreadable:
+    case MalformedEntry.Unreadable:
       return null;
   }
 }
--- a/src/lab/gateway-world/notice-oracle.ts
+++ b/src/lab/gateway-simulation/notice-oracle.ts
@@ -1,7 +1,7 @@
 /** Judges whether routers kept to what engines had told them of themselves. */
-import type { GatewayWorld } from './gateway-world.js';
+import type { GatewaySimulation } from './gateway-simulation.js';
 import type { ObservedArrival, ObservedNotice } from './simulated-engine.js';
-import { WORLD_BOUNDS } from './world-fixtures.js';
+import { SIMULATION_BOUNDS } from './simulation-fixtures.js';
 
 /** A rule on what engines say of themselves that was broken. */
 export interface NoticeBreach {
@@ -15,7 +15,7 @@
 const MAXIMUM_IN_PAUSE = 2;
 
 /** All broken rules on what engines say of themselves. */
-export function judgeNotices(world: GatewayWorld): NoticeBreach[] {
+export function judgeNotices(world: GatewaySimulation): NoticeBreach[] {
   const { notices } = world.observations;
   const sentMsById = new Map(world.requests.map(({ id, sentMs }) => [id, sentMs]));
   return notices.flatMap((notice) => [
@@ -28,10 +28,10 @@
 function judgeLeaving(
   notice: ObservedNotice,
   sentMsById: ReadonlyMap<string, number>,
-  world: GatewayWorld,
+  world: GatewaySimulation,
 ): NoticeBreach[] {
   if (!notice.isLeaving) return [];
-  const limitMs = notice.answeredMs + WORLD_BOUNDS.drainMs;
+  const limitMs = notice.answeredMs + SIMULATION_BOUNDS.drainMs;
   const late = arrivalsAfter(notice, world).find(
     ({ requestId, atMs }) =>
       (sentMsById.get(requestId) ?? -Infinity) > limitMs &&
@@ -44,7 +44,7 @@
 }
 
 /** An engine that asked a router for a pause gets hardly a request of it until the pause is over. */
-function judgeBackoff(notice: ObservedNotice, world: GatewayWorld): NoticeBreach[] {
+function judgeBackoff(notice: ObservedNotice, world: GatewaySimulation): NoticeBreach[] {
   const { answeredMs, backoffMs, router, engineId } = notice;
   if (backoffMs === undefined) return [];
   const untilMs = answeredMs + backoffMs;
@@ -59,7 +59,7 @@
 
 function arrivalsAfter(
   { router, engineId, answeredMs }: ObservedNotice,
-  { observations }: GatewayWorld,
+  { observations }: GatewaySimulation,
 ): ObservedArrival[] {
   return observations.arrivals.filter(
     (arrival) =>
--- a/src/lab/gateway-world/quota-oracle.ts
+++ b/src/lab/gateway-simulation/quota-oracle.ts
@@ -5,10 +5,16 @@
   chargeOf,
   excessAllowed,
 } from '../../state/routing/quota/tenant-limit.js';
-import type { GatewayWorld, ObservedRequest } from './gateway-world.js';
+import type { GatewaySimulation, ObservedRequest } from './gateway-simulation.js';
 import type { LimitChange } from './limit-change.js';
 import type { ObservedRun } from './simulated-engine.js';
-import { KEYS, ROUTERS, STREAM_TOKENS, WORLD_BOUNDS, routerName } from './world-fixtures.js';
+import {
+  KEYS,
+  ROUTERS,
+  STREAM_TOKENS,
+  SIMULATION_BOUNDS,
+  routerName,
+} from './simulation-fixtures.js';
 
 /** A tenant that got more than its limit allows. */
 export interface QuotaBreach {
@@ -34,7 +40,7 @@
 const TOUCH_STEP_MS = 250;
 
 /** Windows in which engines ran more for a tenant than is allowed; one breach for each tenant at most. */
-export function judgeQuotas(world: GatewayWorld, tolerance: QuotaTolerance): QuotaBreach[] {
+export function judgeQuotas(world: GatewaySimulation, tolerance: QuotaTolerance): QuotaBreach[] {
   if (world.limitChanges.every(({ limit }) => limit === undefined)) return [];
   const requests = new Map(world.requests.map((request) => [request.id, request]));
   return [...KEYS.keys()].flatMap((tenant) => {
@@ -94,7 +100,7 @@
 }
 
 /** The limits of a tenant, each until the next one binds all routers. */
-function spansOf(tenant: string, world: GatewayWorld): LimitSpan[] {
+function spansOf(tenant: string, world: GatewaySimulation): LimitSpan[] {
   const changes = world.limitChanges.filter((change) => change.tenant === tenant);
   const beginning: LimitChange = { tenant, limit: undefined, atMs: 0 };
   const all = changes[0]?.atMs === 0 ? changes : [beginning, ...changes];
@@ -105,8 +111,8 @@
 }
 
 /** A change binds once all routers have been in touch for so long after it was acknowledged. */
-function bindingMs({ atMs }: LimitChange, world: GatewayWorld): number {
-  const { applyMs } = WORLD_BOUNDS;
+function bindingMs({ atMs }: LimitChange, world: GatewaySimulation): number {
+  const { applyMs } = SIMULATION_BOUNDS;
   let inTouchSinceMs = atMs;
   for (let nowMs = atMs; nowMs <= world.now; nowMs += TOUCH_STEP_MS) {
     if (isAnyDisturbed(world, nowMs)) inTouchSinceMs = nowMs + TOUCH_STEP_MS;
@@ -115,7 +121,7 @@
   return Infinity;
 }
 
-function isAnyDisturbed(world: GatewayWorld, atMs: number): boolean {
+function isAnyDisturbed(world: GatewaySimulation, atMs: number): boolean {
   for (let index = 0; index < ROUTERS; index += 1) {
     if (world.disturbances.isDisturbed(routerName(index), atMs)) return true;
   }
--- a/src/lab/gateway-world/simulated-fleet.ts
+++ b/src/lab/gateway-simulation/simulated-fleet.ts
@@ -1,14 +1,14 @@
 /** The engines of the simulated deployment: their lives, their entries in the store, the ways to them. */
 import { isDeepStrictEqual } from 'node:util';
 import type { VirtualClock } from '../../runtime/virtual-clock.js';
-import { type OddEntry, oddEntryOf } from './odd-entry.js';
+import { type MalformedEntry, malformedEntryOf } from './malformed-entry.js';
 import { type EngineIdentity, type RunningRequest, SimulatedEngine } from './simulated-engine.js';
 import type { SimulatedObjectStore } from './simulated-object-store.js';
 import type { StoredEngine } from './stored-engine.js';
-import { GENERATION_SERVICE, KINDS, WORLD_MODEL } from './world-fixtures.js';
+import { GENERATION_SERVICE, KINDS, SIMULATION_MODEL } from './simulation-fixtures.js';
 
 /** How an engine starts again under its name. */
-export interface Rebirth {
+export interface EngineRestart {
   /** Time from its end to its next start, in milliseconds. */
   readonly downMs: number;
   /** From its end there is no way to the engine for this long: what is sent to it hangs. 0: no cut. */
@@ -40,7 +40,7 @@
 /** An engine writes its entry at least this often. */
 const HEARTBEAT_MS = 1_200;
 const ENTRY_RETRY_MS = 300;
-const CRASH: Rebirth = {
+const CRASH: EngineRestart = {
   downMs: CRASH_RESTART_MS,
   cutMs: 0,
   entryDelayMs: 0,
@@ -103,9 +103,11 @@
   add(service: string, address?: string): void {
     const name = `engine-${this.names.length + 1}`;
     this.names.push(name);
-    const model = service === GENERATION_SERVICE ? WORLD_MODEL : undefined;
+    const model = service === GENERATION_SERVICE ? SIMULATION_MODEL : undefined;
     const identity = { name, address: address ?? `${name}:1`, service, model };
-    const named = this.store.get(KINDS.weightVersions, WORLD_MODEL)?.spec as { version: number };
+    const named = this.store.get(KINDS.weightVersions, SIMULATION_MODEL)?.spec as {
+      version: number;
+    };
     const engine = this.begin(identity, named.version, 0);
     this.store.put(KINDS.engines, name, entryOf(engine));
   }
@@ -126,7 +128,7 @@
   }
 
   /** An engine ends and starts again under its name. */
-  restart(index: number, rebirth: Rebirth): void {
+  restart(index: number, rebirth: EngineRestart): void {
     const engine = this.engine(index);
     if (!engine.isRunning) return;
     if (rebirth.cutMs > 0) this.cutOff(engine.address, engine.crashUnseen(), rebirth.cutMs);
@@ -151,19 +153,19 @@
   }
 
   /** Another writer leaves an entry under a name that is no engine's. */
-  addOddEntry(odd: OddEntry): void {
+  addOddEntry(odd: MalformedEntry): void {
     const name = `odd-${this.oddNames.size + 1}`;
     this.oddNames.add(name);
     const identity = { ...this.engine(0).identity, name, address: `${name}:1` };
     const entry = entryOf(new SimulatedEngine(identity, this.wallMs));
-    this.store.put(KINDS.engines, name, oddEntryOf(odd, entry));
+    this.store.put(KINDS.engines, name, malformedEntryOf(odd, entry));
   }
 
   /** Another writer overwrites an engine's entry, which the engine writes again with its next heartbeat. */
-  overwriteEntry(index: number, odd: OddEntry): void {
+  overwriteEntry(index: number, odd: MalformedEntry): void {
     const engine = this.engine(index);
     if (!engine.isRunning || this.store.isDown) return;
-    this.store.put(KINDS.engines, engine.name, oddEntryOf(odd, entryOf(engine)));
+    this.store.put(KINDS.engines, engine.name, malformedEntryOf(odd, entryOf(engine)));
     this.clock.setTimer(HEARTBEAT_MS, () => this.writeEntry(engine));
   }
 
@@ -207,7 +209,7 @@
     return engine;
   }
 
-  private beginAgain(former: SimulatedEngine, rebirth: Rebirth): void {
+  private beginAgain(former: SimulatedEngine, rebirth: EngineRestart): void {
     const version = rebirth.losesLoad ? former.earlierVersion : former.weightsVersion;
     this.clock.setTimer(rebirth.downMs, () => {
       const engine = this.begin(former.identity, version, rebirth.clockStepMs);
--- a/src/lab/gateway-world/simulated-inference.ts
+++ b/src/lab/gateway-simulation/simulated-inference.ts
@@ -23,7 +23,7 @@
 } from './simulated-engine.js';
 import { SimulatedExchange, WAY_MS } from './simulated-exchange.js';
 import { OrderFault, type SimulatedFleet } from './simulated-fleet.js';
-import { CRASHING_BODY } from './world-fixtures.js';
+import { CRASHING_BODY } from './simulation-fixtures.js';
 
 const LOAD_MS = 300;
 const REPORT_TIMEOUT_MS = 400;
--- a/src/lab/gateway-world/world-fixtures.ts
+++ b/src/lab/gateway-simulation/simulation-fixtures.ts
@@ -10,7 +10,7 @@
 export type RequestKind = 'plain-unsafe' | 'plain-safe' | 'stream-resumable' | 'stream-once';
 
 /** Bounds of the simulated deployment, in milliseconds. */
-export const WORLD_BOUNDS = {
+export const SIMULATION_BOUNDS = {
   revokeMs: 5_000,
   drainMs: 2_000,
   leaseMs: 3_000,
@@ -20,7 +20,7 @@
   applyMs: 3_000,
 } as const;
 
-export const WORLD_MODEL = 'model-a';
+export const SIMULATION_MODEL = 'model-a';
 export const ISOLATED_TENANT = 'tenant-1';
 /** Services of the deployment. */
 export const GENERATION_SERVICE = 'generation';
@@ -56,7 +56,7 @@
   return `router-${index % ROUTERS}`;
 }
 /** Settings of one router. */
-export function worldSettings(name: string): GatewaySettings {
+export function simulationSettings(name: string): GatewaySettings {
   return {
     nodeId: name,
     zone: 'zone-a',
@@ -67,7 +67,7 @@
     seeds: [0, 1, 2].map((index) => `${routerName(index)}:7000`),
     isFirstStart: false,
     kinds: KINDS,
-    proofLifetimeMs: WORLD_BOUNDS.revokeMs * 0.92,
+    proofLifetimeMs: SIMULATION_BOUNDS.revokeMs * 0.92,
     configurationWatchMs: 1_500,
     engineWatchMs: 3_000,
     versionWatchMs: 10_000,
@@ -78,7 +78,7 @@
       watchMs: 600,
       freshMs: 1_400,
     },
-    drainMs: WORLD_BOUNDS.drainMs,
+    drainMs: SIMULATION_BOUNDS.drainMs,
     entryLifetimeMs: 3_600,
     retryBudget: { ratio: 0.2, windowMs: 10_000, allowance: 54 },
     rollout: {
@@ -92,14 +92,14 @@
     },
     beginSlackMs: 450,
     unseenVersionAgeMs: 5_000,
-    leaseMs: WORLD_BOUNDS.leaseMs,
+    leaseMs: SIMULATION_BOUNDS.leaseMs,
     leaseActMs: 500,
-    quotaTolerance: WORLD_QUOTA_TOLERANCE,
+    quotaTolerance: SIMULATION_QUOTA_TOLERANCE,
   };
 }
 
 /** A configuration with all kinds of route. */
-export function worldConfiguration(
+export function simulationConfiguration(
   version: number,
   tenants: readonly { name: string; keys: string[]; limit?: TenantLimit | undefined }[],
 ): RoutingConfiguration {
@@ -163,7 +163,7 @@
 /** What a stream declares: 900 tokens of its prompt and 10 at most to come. */
 export const STREAM_TOKENS = 910;
 /** How far routers may pass the limits of tenants: by two streams each, beside a tenth. */
-export const WORLD_QUOTA_TOLERANCE = {
+export const SIMULATION_QUOTA_TOLERANCE = {
   windowMs: 8_000,
   overageShare: 0.1,
   slack: 6 * STREAM_TOKENS,
@@ -196,7 +196,7 @@
     apiKey: key,
     budgetMs: 3_000,
     generation: kind.startsWith('stream')
-      ? { model: WORLD_MODEL, parts, promptTokens: 900, maximumOutputTokens: 10 }
+      ? { model: SIMULATION_MODEL, parts, promptTokens: 900, maximumOutputTokens: 10 }
       : undefined,
     declaredTokens: kind.startsWith('stream') ? STREAM_TOKENS : undefined,
     resumeAfter: undefined,
--- a/src/lab/gateway-world/world-mutation.ts
+++ b/src/lab/gateway-simulation/simulation-mutation.ts
@@ -12,7 +12,7 @@
 }
 
 /** Parts of a deployment that a mutation may weaken, to see that the oracle finds it. */
-export interface WorldMutation {
+export interface SimulationMutation {
   readonly settings?: Partial<GatewaySettings>;
   readonly decoder?: (decoder: ObjectDecoder) => ObjectDecoder;
   /** Called once for a deployment: what changes the view of each of its routers, as they start. */
--- a/src/lab/gateway-world/world-traffic.ts
+++ b/src/lab/gateway-simulation/simulation-traffic.ts
@@ -1,6 +1,6 @@
 /** Requests of all kinds through all routers of the simulated deployment, and what became of them. */
-import type { GatewayWorld } from './gateway-world.js';
-import type { RequestKind } from './world-fixtures.js';
+import type { GatewaySimulation } from './gateway-simulation.js';
+import type { RequestKind } from './simulation-fixtures.js';
 
 const KINDS: readonly RequestKind[] = [
   'plain-safe',
@@ -11,7 +11,7 @@
 
 /** Sends by turns through all routers for a while, one request each `gapMs`. */
 export async function sendAllKinds(
-  world: GatewayWorld,
+  world: GatewaySimulation,
   forMs: number,
   gapMs: number,
 ): Promise<void> {
@@ -23,6 +23,6 @@
 }
 
 /** Share of all requests so far that were answered with success, 0 to 1. */
-export function servedShare({ requests }: GatewayWorld): number {
+export function servedShare({ requests }: GatewaySimulation): number {
   return requests.filter(({ reply }) => reply.status === 200).length / requests.length;
 }
--- a/src/state/routing/kept-prefixes.ts
+++ b/src/state/routing/cached-prefixes.ts
@@ -5,7 +5,7 @@
 import type { PromptPart } from './generation.js';
 
 /** Beliefs about all holders. A holder is an engine's incarnation or a store's address. */
-export class KeptPrefixes {
+export class CachedPrefixes {
   /** Tokens kept by holder, for each part under its salt. */
   private readonly holdersByPart = new Map<string, Map<string, number>>();
   /** Turn in which each part was noted last, by holder. */
--- a/src/state/routing/order-turn.ts
+++ b/src/state/routing/coordinator-succession.ts
@@ -12,7 +12,7 @@
 const INCUMBENT_PATIENCE_MS = 1_500;
 
 /** The line of routers, as one of them sees it. */
-export class OrderTurn {
+export class CoordinatorSuccession {
   /** When another router last told of an order it gave. */
   private otherActedMs = -Infinity;
   /** The router that told of the newest write to the lease. */
--- a/src/state/routing/crash-news-board.ts
+++ b/src/state/routing/crash-announcement-queue.ts
@@ -5,7 +5,7 @@
  */
 
 /** An engine that crashed, and requests that broke with it. */
-export interface EngineCrashNotice {
+export interface EngineCrashAnnouncement {
   readonly engineId: string;
   readonly fingerprints: readonly string[];
   /** Time since the crash was found, in milliseconds. */
@@ -13,7 +13,7 @@
 }
 
 /** A request that entered quarantine, or that was cleared. */
-export interface QuarantineNotice {
+export interface QuarantineAnnouncement {
   readonly fingerprint: string;
   readonly isCleared: boolean;
   /** Time since then, in milliseconds. */
@@ -21,9 +21,9 @@
 }
 
 /** What one report carries. */
-export interface CrashNews {
-  readonly crashes: readonly EngineCrashNotice[];
-  readonly quarantine: readonly QuarantineNotice[];
+export interface CrashAnnouncements {
+  readonly crashes: readonly EngineCrashAnnouncement[];
+  readonly quarantine: readonly QuarantineAnnouncement[];
 }
 
 interface Pending {
@@ -63,7 +63,7 @@
 const MAXIMUM_PENDING = 512;
 
 /** Notices that wait to be announced. */
-export class CrashNewsBoard {
+export class CrashAnnouncementQueue {
   private crashes: PendingCrash[] = [];
   private clearances: PendingClearance[] = [];
   private turn = 0;
@@ -113,7 +113,7 @@
   }
 
   /** What the next report carries; call once a report. */
-  take(quarantinedSince: ReadonlyMap<string, number>, nowMs: number): CrashNews {
+  take(quarantinedSince: ReadonlyMap<string, number>, nowMs: number): CrashAnnouncements {
     const crashes = takeFirst(this.crashes, CRASHES_PER_REPORT);
     const clearances = takeFirst(this.clearances, CLEARANCES_PER_REPORT);
     this.crashes = this.crashes.filter(({ remaining }) => remaining > 0);
--- a/src/state/routing/engine-health.ts
+++ b/src/state/routing/engine-health.ts
@@ -2,7 +2,7 @@
 
 import { EngineBackoffs } from './engine-backoffs.js';
 import { EngineLimits } from './engine-limits.js';
-import type { TurnView } from './send-turns.js';
+import type { SlotView } from './send-slots.js';
 
 interface Health {
   /** Moving share of failures among the last answers, 0 to 1. */
@@ -108,7 +108,7 @@
    * Time until the first of these engines takes a request of this router, by pauses and limits, in milliseconds; 0 where
    * one does now, Infinity for no engines.
    */
-  shortestWaitMs(engineNames: readonly string[], nowMs: number, turns: TurnView): number {
+  shortestWaitMs(engineNames: readonly string[], nowMs: number, turns: SlotView): number {
     const waitsMs = engineNames.map((name) =>
       Math.max(this.backoffs.remainingMs(name, nowMs), this.limits.waitMs(name, turns)),
     );
--- a/src/state/routing/engine-incarnation.ts
+++ b/src/state/routing/engine-incarnation.ts
@@ -4,7 +4,7 @@
  */
 
 /** What identifies one life: the engine's name and its start. */
-export interface EngineLife {
+export interface EngineIncarnation {
   /** The platform's identifier, the same in every life. */
   readonly name: string;
   /** Start in Unix milliseconds, by the engine's clock; undefined where it is not stated. */
@@ -19,18 +19,24 @@
 }
 
 /** The life that an identity of {@link incarnationOf} names. */
-export function lifeOf(incarnation: string): EngineLife {
+export function parseIncarnation(incarnation: string): EngineIncarnation {
   const match = STATED_INCARNATION.exec(incarnation);
   if (!match?.[1] || !match[2]) return { name: incarnation, bornMs: undefined };
   return { name: match[1], bornMs: Number(match[2]) };
 }
 
 /** Whether two statements of a start contradict each other; one that is left out contradicts none. */
-export function isOtherLife(leftMs: number | undefined, rightMs: number | undefined): boolean {
+export function isDifferentIncarnation(
+  leftMs: number | undefined,
+  rightMs: number | undefined,
+): boolean {
   return leftMs !== undefined && rightMs !== undefined && leftMs !== rightMs;
 }
 
 /** Whether a start that was heard is later than the one known. */
-export function isLaterLife(heardMs: number | undefined, knownMs: number | undefined): boolean {
+export function isLaterIncarnation(
+  heardMs: number | undefined,
+  knownMs: number | undefined,
+): boolean {
   return heardMs !== undefined && heardMs > (knownMs ?? -Infinity);
 }
--- a/src/state/routing/engine-limits.ts
+++ b/src/state/routing/engine-limits.ts
@@ -5,7 +5,7 @@
  * learn for long that a limit is lifted. Pure.
  */
 import { memberKey } from '../member-key.js';
-import { SendTurns, type TurnView } from './send-turns.js';
+import { SendSlots, type SlotView } from './send-slots.js';
 
 /** Number of keys that {@link memberKey} may give. */
 const KEYS = 2 ** 32;
@@ -25,7 +25,7 @@
 const LIFT_REMEMBERED_MS = 60_000;
 
 /** What one router tells another of an engine's limit. */
-export interface LimitNotice {
+export interface EngineLimitAnnouncement {
   readonly engineName: string;
   /** Requests a second; undefined: the limit is lifted. */
   readonly perSecond: number | undefined;
@@ -45,7 +45,7 @@
 /** The limits of all engines. */
 export class EngineLimits {
   private readonly known = new Map<string, KnownLimit>();
-  private readonly turns = new Map<string, SendTurns>();
+  private readonly turns = new Map<string, SendSlots>();
 
   /**
    * An answer that has just come names a limit.
@@ -74,7 +74,7 @@
    *
    * @returns true where this changes what was known
    */
-  receive({ engineName, perSecond, ageMs }: LimitNotice, nowMs: number): boolean {
+  receive({ engineName, perSecond, ageMs }: EngineLimitAnnouncement, nowMs: number): boolean {
     const present = this.known.get(engineName);
     const asOfMs = nowMs - ageMs;
     const isLift = perSecond === undefined;
@@ -85,8 +85,8 @@
   }
 
   /** What the other routers should be told. */
-  notices(nowMs: number): LimitNotice[] {
-    const notices: LimitNotice[] = [];
+  notices(nowMs: number): EngineLimitAnnouncement[] {
+    const notices: EngineLimitAnnouncement[] = [];
     for (const [engineName, { perSecond, asOfMs, learntMs }] of this.known) {
       const ageMs = Math.max(0, Math.round(nowMs - asOfMs));
       const rememberedMs = perSecond === undefined ? LIFT_REMEMBERED_MS : REMEMBERED_MS;
@@ -102,27 +102,27 @@
   }
 
   /** Whether this router may send the engine a request now. */
-  maySend(engineName: string, view: TurnView): boolean {
+  maySend(engineName: string, view: SlotView): boolean {
     const perSecond = this.perSecond(engineName);
     return perSecond === undefined || this.turnsOf(engineName).isDue(perSecond, view);
   }
 
   /** Time until this router may send the engine a request, in milliseconds; 0 where it may now. */
-  waitMs(engineName: string, view: TurnView): number {
+  waitMs(engineName: string, view: SlotView): number {
     const perSecond = this.perSecond(engineName);
     return perSecond === undefined ? 0 : this.turnsOf(engineName).waitMs(perSecond, view);
   }
 
   /** This router sends the engine a request. */
-  noteSend(engineName: string, view: TurnView): void {
+  noteSend(engineName: string, view: SlotView): void {
     const perSecond = this.perSecond(engineName);
     if (perSecond !== undefined) this.turnsOf(engineName).use(perSecond, view);
   }
 
-  private turnsOf(engineName: string): SendTurns {
+  private turnsOf(engineName: string): SendSlots {
     let turns = this.turns.get(engineName);
     if (!turns) {
-      turns = new SendTurns(memberKey(engineName) / KEYS);
+      turns = new SendSlots(memberKey(engineName) / KEYS);
       this.turns.set(engineName, turns);
     }
     return turns;
--- a/src/state/routing/engine-registry.ts
+++ b/src/state/routing/engine-registry.ts
@@ -2,9 +2,9 @@
  * The engines of all services, as the platform lists them and as this router has found them: at most one
  * life of each.
  */
-import { incarnationOf, isLaterLife, lifeOf } from './engine-incarnation.js';
+import { incarnationOf, isLaterIncarnation, parseIncarnation } from './engine-incarnation.js';
 import type { EngineRecord } from './engine-record.js';
-import { FollowedLives } from './followed-lives.js';
+import { SupersededIncarnations } from './superseded-incarnations.js';
 
 export type { EngineRecord };
 
@@ -41,7 +41,7 @@
    * so while they had none: they never come back, whatever an old entry says.
    */
   private readonly retired = new Set<string>();
-  private readonly followed = new FollowedLives();
+  private readonly followed = new SupersededIncarnations();
   private view = 0;
 
   /** Changes with every change of the list. */
@@ -103,7 +103,10 @@
     const present = this.byName.get(record.name);
     const former = present?.record.id === record.id ? undefined : present;
     if (former) {
-      this.follow(former, former.isListed && isLaterLife(record.bornMs, former.record.bornMs));
+      this.follow(
+        former,
+        former.isListed && isLaterIncarnation(record.bornMs, former.record.bornMs),
+      );
     }
     this.store(record, true);
     this.regroup();
@@ -118,10 +121,10 @@
    * life that ended.
    */
   noteAnswer(asked: string, bornMs: number): EngineRecord | undefined {
-    const { name } = lifeOf(asked);
+    const { name } = parseIncarnation(asked);
     const present = this.byName.get(name);
     if (present?.record.id !== asked) return this.noteHearsay(name, bornMs);
-    const isLater = isLaterLife(bornMs, present.record.bornMs);
+    const isLater = isLaterIncarnation(bornMs, present.record.bornMs);
     const isKnown = this.followed.find(incarnationOf(name, bornMs)) !== undefined;
     if (!isLater && !isKnown && present.isListed) return undefined;
     return this.succeed(present, bornMs, isLater);
@@ -135,7 +138,7 @@
    */
   noteHearsay(name: string, bornMs: number): EngineRecord | undefined {
     const present = this.byName.get(name);
-    if (!present || !isLaterLife(bornMs, present.record.bornMs)) return undefined;
+    if (!present || !isLaterIncarnation(bornMs, present.record.bornMs)) return undefined;
     if (this.followed.find(incarnationOf(name, bornMs))) return undefined;
     return this.succeed(present, bornMs, false);
   }
--- a/src/state/routing/generation.ts
+++ b/src/state/routing/generation.ts
@@ -21,7 +21,7 @@
 }
 
 /** What the prompt is about: its last shared part, or the request's own where none is shared. */
-export function subjectOf(generation: GenerationShape): string {
+export function affinityKeyOf(generation: GenerationShape): string {
   const { parts } = generation;
   return (parts.at(-2) ?? parts.at(-1))?.id ?? '';
 }
--- a/src/state/routing/order-book.ts
+++ b/src/state/routing/load-commands.ts
@@ -1,8 +1,8 @@
 /** The orders for new weights that a router has given and has not forgotten. Pure. */
-import type { WeightsNews } from './weights-news.js';
+import type { WeightLoadAnnouncement } from './weight-load-announcements.js';
 
 /** One order to one engine. */
-export interface GivenOrder {
+export interface LoadCommand {
   readonly model: string;
   readonly version: number;
   readonly givenMs: number;
@@ -32,8 +32,8 @@
 }
 
 /** Orders by incarnation of the engine. */
-export class OrderBook {
-  private readonly orders = new Map<string, GivenOrder>();
+export class LoadCommands {
+  private readonly orders = new Map<string, LoadCommand>();
   private readonly refusals = new Map<string, Refusals>();
   private fastestLoadMs = 0;
 
@@ -89,7 +89,7 @@
   }
 
   /** Orders whose engines may have the weights by now. */
-  toPoll(nowMs: number): [engineId: string, order: GivenOrder][] {
+  toPoll(nowMs: number): [engineId: string, order: LoadCommand][] {
     const firstPollMs = Math.max(SHORTEST_LOAD_MS, this.fastestLoadMs * FIRST_POLL_SHARE);
     return [...this.orders].filter(
       ([, { doneMs, givenMs }]) => doneMs === undefined && nowMs - givenMs >= firstPollMs,
@@ -97,7 +97,7 @@
   }
 
   /** What the other routers should know. */
-  news(nowMs: number): WeightsNews[] {
+  news(nowMs: number): WeightLoadAnnouncement[] {
     return [...this.orders].map(([engineId, { model, version, givenMs, doneMs }]) => {
       const foundMs = doneMs ?? nowMs - ((nowMs - givenMs) % RENEWAL_PERIOD_MS);
       const ageMs = Math.round(nowMs - foundMs);
--- a/src/state/routing/passed-over.ts
+++ b/src/state/routing/peer-cooldowns.ts
@@ -4,7 +4,7 @@
  */
 
 /** Who is passed over, and until when. */
-export class PassedOver {
+export class PeerCooldowns {
   private readonly untilMs = new Map<string, number>();
 
   /** @param forMs how long a router is passed over, in milliseconds */
--- a/src/state/routing/placement.ts
+++ b/src/state/routing/placement.ts
@@ -3,21 +3,21 @@
 import type { CacheStore, EngineProfile } from './configuration.js';
 import type { EngineHealth } from './engine-health.js';
 import { type Engine, versionAt } from './engine-registry.js';
-import { type GenerationShape, subjectOf } from './generation.js';
+import { type GenerationShape, affinityKeyOf } from './generation.js';
 import type { HomeRanking } from './home-ranking.js';
-import type { KeptPrefixes } from './kept-prefixes.js';
+import type { CachedPrefixes } from './cached-prefixes.js';
 import type { LoadTable } from './load-table.js';
 import { type PromptView, sourceAddress, storeToSave } from './prompt-source-choice.js';
 import {
   type BestSource,
-  KeptBySalt,
+  CachedPromptsBySalt,
   READ_TOKENS_PER_MS,
   bestSource,
   sharedTokensOf,
 } from './prompt-sources.js';
 import { RejectionReason } from './rejection.js';
 import type { StorePressure } from './save-choice.js';
-import type { TurnView } from './send-turns.js';
+import type { SlotView } from './send-slots.js';
 import type { WeightVersions } from './weight-versions.js';
 
 /** What a placement is decided from. */
@@ -37,7 +37,7 @@
   /** Requests this router may have at one engine at once. */
   readonly connectionShare: number;
   /** Decides which limited engines this router may send to now. */
-  readonly turns: TurnView;
+  readonly turns: SlotView;
 }
 
 /** The chosen engine and how the request is sent there. */
@@ -66,7 +66,7 @@
 export interface PlacementTables {
   readonly loads: LoadTable;
   readonly health: EngineHealth;
-  readonly kept: KeptPrefixes;
+  readonly kept: CachedPrefixes;
   readonly versions: WeightVersions;
   readonly random: RandomSource;
   readonly homes: HomeRanking;
@@ -130,7 +130,7 @@
   nowMs: number,
 ): PromptView {
   const { candidates, stores } = request;
-  const subject = subjectOf(generation);
+  const subject = affinityKeyOf(generation);
   const isSound = (engine: Engine): boolean =>
     isAllowed(engine, request, tables, nowMs) &&
     !isBackingOff(engine, tables, nowMs) &&
@@ -139,7 +139,7 @@
   const nameOf = (engine: Engine): string => engine.record.name;
   const homes = tables.homes.firstFit(subject, candidates, nameOf, HOMES_WEIGHED, isSound);
   const [store] = tables.homes.first(subject, stores, (each) => each.address, 1);
-  const kept = new KeptBySalt({ ...request, generation }, tables.kept);
+  const kept = new CachedPromptsBySalt({ ...request, generation }, tables.kept);
   const { storePressure } = request;
   return { generation, kept, homes, store, storePressure };
 }
--- a/src/state/routing/prompt-source-choice.ts
+++ b/src/state/routing/prompt-source-choice.ts
@@ -4,8 +4,8 @@
 import type { GenerationShape } from './generation.js';
 import {
   type BestSource,
-  type KeptBySalt,
-  type KeptPrompt,
+  type CachedPromptsBySalt,
+  type CachedPrompt,
   paysToFetch,
   sharedTokensOf,
 } from './prompt-sources.js';
@@ -14,7 +14,7 @@
 /** What one placement knows of its prompt. */
 export interface PromptView {
   readonly generation: GenerationShape;
-  readonly kept: KeptBySalt;
+  readonly kept: CachedPromptsBySalt;
   /** First engines of the subject's ranking that may be used now. */
   readonly homes: readonly Engine[];
   /** The store that all routers agree on for the subject. */
@@ -63,7 +63,7 @@
 }
 
 /** The store that should get this prompt's shared parts; undefined where it has them. */
-export function storeToSave(kept: KeptPrompt, prompt: PromptView): string | undefined {
+export function storeToSave(kept: CachedPrompt, prompt: PromptView): string | undefined {
   const sharedTokens = sharedTokensOf(prompt.generation);
   if (sharedTokens === 0 || !prompt.store) return undefined;
   const { address } = prompt.store;
--- a/src/state/routing/prompt-sources.ts
+++ b/src/state/routing/prompt-sources.ts
@@ -2,7 +2,7 @@
 import type { CacheStore, EngineProfile } from './configuration.js';
 import type { Engine } from './engine-registry.js';
 import { type GenerationShape, cacheSaltOf, sharedPartsOf } from './generation.js';
-import type { KeptPrefixes } from './kept-prefixes.js';
+import type { CachedPrefixes } from './cached-prefixes.js';
 
 /** Prompt tokens an engine reads in a millisecond; engines do not tell it. */
 export const READ_TOKENS_PER_MS = 40;
@@ -23,14 +23,14 @@
 }
 
 /** Who keeps how much of a prompt under one salt. */
-export interface KeptPrompt {
+export interface CachedPrompt {
   /** Tokens of the prompt's beginning, by holder: an engine's incarnation or a store's address. */
   readonly tokensByHolder: ReadonlyMap<string, number>;
   readonly sources: readonly KeptSource[];
 }
 
 /** The same with its salt. */
-export interface SaltedPrompt extends KeptPrompt {
+export interface SaltedPrompt extends CachedPrompt {
   readonly salt: string;
 }
 
@@ -54,12 +54,12 @@
 }
 
 /** What is kept of one prompt, looked up once for each salt that engines have. */
-export class KeptBySalt {
+export class CachedPromptsBySalt {
   private readonly byVersion = new Map<number, SaltedPrompt>();
 
   constructor(
     private readonly question: PromptQuestion,
-    private readonly kept: KeptPrefixes,
+    private readonly kept: CachedPrefixes,
   ) {}
 
   private saltOf(version: number): string {
@@ -81,7 +81,7 @@
     return kept;
   }
 
-  private lookUp(salt: string): KeptPrompt {
+  private lookUp(salt: string): CachedPrompt {
     const { generation, profile, stores, candidates } = this.question;
     const tokensByHolder = this.kept.leadingTokens(salt, generation.parts);
     const sources: KeptSource[] = [];
--- a/src/state/routing/quota/accountant-ranking.ts
+++ b/src/state/routing/quota/quota-owner-ranking.ts
@@ -4,7 +4,7 @@
  */
 import { createBoundedCache } from '../../bounded-cache.js';
 import type { HomeRanking } from '../home-ranking.js';
-import { PassedOver } from '../passed-over.js';
+import { PeerCooldowns } from '../peer-cooldowns.js';
 
 /** Routers that may keep an account, the first one first; a router beyond these is never asked. */
 const RANKED = 3;
@@ -23,7 +23,7 @@
 const MAXIMUM_RANKINGS = 1_024;
 
 /** What a router hears of the others. */
-export interface HeardRouters {
+export interface RouterLiveness {
   /** Time since the router at an address was last heard, in milliseconds; Infinity where it never was. */
   silenceMs(address: string): number;
   /** Whether it is cut off or down for certain. */
@@ -31,18 +31,18 @@
 }
 
 /** The order of accountants, by their datagram addresses. */
-export class AccountantRanking {
+export class QuotaOwnerRanking {
   /** Orders by tenant, for the addresses that they were made of. */
   private readonly rankings = createBoundedCache<string, readonly string[]>(MAXIMUM_RANKINGS);
   private rankedAddresses: readonly string[] = [];
   /** Routers that failed to answer, until they are heard again. */
-  private readonly silent = new PassedOver(SILENT_MS);
+  private readonly silent = new PeerCooldowns(SILENT_MS);
   /** Those that failed so lately that it doesn't count yet that they are heard. */
-  private readonly justFailed = new PassedOver(SHORTEST_SILENT_MS);
+  private readonly justFailed = new PeerCooldowns(SHORTEST_SILENT_MS);
 
   constructor(
     private readonly homes: HomeRanking,
-    private readonly heard: HeardRouters,
+    private readonly heard: RouterLiveness,
   ) {}
 
   /** Addresses to ask for a tenant, the first one first; empty where none of them answers. */
--- a/src/state/routing/send-turns.ts
+++ b/src/state/routing/send-slots.ts
@@ -13,17 +13,17 @@
  */
 
 /** This router's part of the line from 0 to 1; the parts of a group do not overlap. */
-export interface TurnInterval {
+export interface SlotInterval {
   readonly from: number;
   readonly to: number;
 }
 
 /** What a router decides its turns by. */
-export interface TurnView {
+export interface SlotView {
   /** Unix milliseconds; routers may differ by some 100 ms, which moves their turns by as much. */
   readonly wallMs: number;
   /** Undefined: no turn is this router's, since it leaves or does not know the group yet. */
-  readonly interval: TurnInterval | undefined;
+  readonly interval: SlotInterval | undefined;
 }
 
 /** Each next point lies this far on, modulo 1: the golden ratio spreads any number of them most evenly. */
@@ -44,7 +44,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** The turns of one router at one engine. */
-export class SendTurns {
+export class SendSlots {
   /** Time of day until which no turn is left, in Unix milliseconds; turns count from the first question on. */
   private usedMs = Infinity;
 
@@ -52,12 +52,12 @@
   constructor(private readonly firstPoint: number) {}
 
   /** Whether a turn of this router is due and has not lapsed. */
-  isDue(perSecond: number, view: TurnView): boolean {
+  isDue(perSecond: number, view: SlotView): boolean {
     return perSecond >= UNLIMITED_PER_SECOND || this.oldestDueMs(perSecond, view) !== undefined;
   }
 
   /** Uses the oldest turn that is due; without effect where none is. */
-  use(perSecond: number, view: TurnView): void {
+  use(perSecond: number, view: SlotView): void {
     const dueMs = this.oldestDueMs(perSecond, view);
     if (dueMs === undefined) return;
     // Half a turn on, where rounding can't bring the same one back.
@@ -65,13 +65,13 @@
   }
 
   /** Time until a turn is due, in milliseconds; 0 where one is, the horizon where none is foreseen. */
-  waitMs(perSecond: number, view: TurnView): number {
+  waitMs(perSecond: number, view: SlotView): number {
     if (this.isDue(perSecond, view)) return 0;
     const next = this.firstOwned(perSecond, view, view.wallMs, view.wallMs + HORIZON_MS);
     return next === undefined ? HORIZON_MS : next - view.wallMs;
   }
 
-  private oldestDueMs(perSecond: number, view: TurnView): number | undefined {
+  private oldestDueMs(perSecond: number, view: SlotView): number | undefined {
     const { wallMs } = view;
     // No turn of the future has been used, also where the time of day has stepped back.
     this.usedMs = Math.min(this.usedMs, wallMs);
@@ -82,7 +82,7 @@
   /** Time of this router's first turn after one moment and until another. */
   private firstOwned(
     perSecond: number,
-    { interval }: TurnView,
+    { interval }: SlotView,
     afterMs: number,
     untilMs: number,
   ): number | undefined {
--- a/src/state/routing/followed-lives.ts
+++ b/src/state/routing/superseded-incarnations.ts
@@ -5,7 +5,7 @@
 import type { EngineRecord } from './engine-record.js';
 
 /** A life that another one has followed. */
-export interface FollowedLife {
+export interface SupersededIncarnation {
   /** What was last known of it, newer versions of weights among it. */
   readonly record: EngineRecord;
   /** Whether its own entry had been taken. */
@@ -18,14 +18,14 @@
 const MAXIMUM_LIVES = 4_096;
 
 /** Followed lives by incarnation. */
-export class FollowedLives {
-  private readonly lives = new Map<string, FollowedLife>();
+export class SupersededIncarnations {
+  private readonly lives = new Map<string, SupersededIncarnation>();
 
-  find(incarnation: string): FollowedLife | undefined {
+  find(incarnation: string): SupersededIncarnation | undefined {
     return this.lives.get(incarnation);
   }
 
-  note(life: FollowedLife): void {
+  note(life: SupersededIncarnation): void {
     const { id } = life.record;
     this.lives.delete(id);
     this.lives.set(id, life);
@@ -35,7 +35,7 @@
   }
 
   /** The life is in the list again. */
-  take(incarnation: string): FollowedLife | undefined {
+  take(incarnation: string): SupersededIncarnation | undefined {
     const life = this.lives.get(incarnation);
     this.lives.delete(incarnation);
     return life;
--- a/src/state/routing/weights-news.ts
+++ b/src/state/routing/weight-load-announcements.ts
@@ -4,7 +4,7 @@
  */
 
 /** What a router knows of the weights at an engine before the platform lists it. */
-export interface WeightsNews {
+export interface WeightLoadAnnouncement {
   readonly engineId: string;
   readonly model: string;
   readonly version: number;
@@ -15,7 +15,7 @@
 }
 
 interface KnownNews {
-  readonly news: Omit<WeightsNews, 'ageMs'>;
+  readonly news: Omit<WeightLoadAnnouncement, 'ageMs'>;
   readonly foundMs: number;
 }
 
@@ -27,11 +27,11 @@
 const RENEWAL_MS = 700;
 
 /** The newest news of each engine. */
-export class WeightsNewsBoard {
+export class WeightLoadAnnouncements {
   private readonly byEngine = new Map<string, KnownNews>();
 
   /** Notes news; true where they tell something new. */
-  take({ ageMs, ...news }: WeightsNews, nowMs: number): boolean {
+  take({ ageMs, ...news }: WeightLoadAnnouncement, nowMs: number): boolean {
     const foundMs = nowMs - ageMs;
     const known = this.byEngine.get(news.engineId);
     if (known && !isNewer({ news, foundMs }, known)) return false;
@@ -40,8 +40,8 @@
   }
 
   /** News that others should be told. */
-  toTell(nowMs: number): WeightsNews[] {
-    const told: WeightsNews[] = [];
+  toTell(nowMs: number): WeightLoadAnnouncement[] {
+    const told: WeightLoadAnnouncement[] = [];
     for (const [engineId, { news, foundMs }] of this.byEngine) {
       const ageMs = Math.max(0, Math.round(nowMs - foundMs));
       if (ageMs >= REMEMBERED_FOR_MS) this.byEngine.delete(engineId);
--- a/test/gateway/cache-feeds.test.ts
+++ b/test/gateway/cache-feeds.test.ts
@@ -5,9 +5,9 @@
 import { SilentLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { incarnationOf } from '../../src/state/routing/engine-incarnation.js';
-import { KeptPrefixes } from '../../src/state/routing/kept-prefixes.js';
-import { DECODER } from '../../src/lab/gateway-world/world-fixtures.js';
-import { EngineListWorld } from '../helpers/engine-list-world.js';
+import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
+import { DECODER } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
+import { EngineListHarness } from '../helpers/engine-list-harness.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
 const NAME = 'engine-0';
@@ -19,9 +19,9 @@
 
 /** A router that follows one engine, whose answers come from a function. */
 function feedWorld(answer: (since: number) => CacheEventPage) {
-  const world = new EngineListWorld({ decoder: DECODER });
+  const world = new EngineListHarness({ decoder: DECODER });
   world.lives.takeEntry(engineRecord(NAME, FIRST_MS));
-  const kept = new KeptPrefixes();
+  const kept = new CachedPrefixes();
   const asked: number[] = [];
   const engines = {
     cacheContents: () => Promise.resolve({ epoch: 1, next: 40, held: [], bornMs: FIRST_MS }),
--- a/test/gateway/crash-news.test.ts
+++ b/test/gateway/crash-announcements.test.ts
@@ -1,6 +1,6 @@
 /** Crashes that different routers of a large group saw reach all of them, over a network that loses datagrams. */
 import test from 'ava';
-import { CrashNewsWorld, type Peer } from '../helpers/crash-news-world.js';
+import { CrashAnnouncementHarness, type Peer } from '../helpers/crash-announcement-harness.js';
 
 const ROUTERS = 60;
 const JOINED_MS = 6_000;
@@ -23,7 +23,7 @@
 }
 
 test('all routers of a large group quarantine a request whose crashes three different ones saw', async (t) => {
-  const world = new CrashNewsWorld();
+  const world = new CrashAnnouncementHarness();
   for (let index = 0; index < ROUTERS; index += 1) await world.start();
   await world.clock.advance(JOINED_MS);
   world.network.faults.datagramLoss = LOSS;
@@ -42,7 +42,7 @@
 });
 
 test('a good end at one router clears the request at all of them', async (t) => {
-  const world = new CrashNewsWorld();
+  const world = new CrashAnnouncementHarness();
   for (let index = 0; index < ROUTERS; index += 1) await world.start();
   await world.clock.advance(JOINED_MS);
   world.network.faults.datagramLoss = LOSS;
@@ -57,7 +57,7 @@
 });
 
 test('a router of a small group does not repeat notices that it only heard', async (t) => {
-  const world = new CrashNewsWorld();
+  const world = new CrashAnnouncementHarness();
   for (let index = 0; index < SMALL_GROUP; index += 1) await world.start();
   await world.clock.advance(JOINED_MS);
   const [first, ...others] = world.peers;
--- a/test/gateway/crashing-request.test.ts
+++ b/test/gateway/crashing-request.test.ts
@@ -15,13 +15,13 @@
  * fingerprints of one day, 3,695 for 3,787 requests, show that caller, path and body tell requests apart.
  */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
 import {
   CRASHING_BODY,
   KINDS,
   type RequestKind,
-} from '../../src/lab/gateway-world/world-fixtures.js';
+} from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { QuarantineRecord } from '../../src/coordination/gateway/quarantine-store.js';
 
 const SEED = 32;
@@ -39,19 +39,19 @@
 const HOT_PER_CRASH = 60;
 
 /** The same request comes again through all routers in turn. */
-async function sendAgainAndAgain(world: GatewayWorld, kind: RequestKind): Promise<void> {
+async function sendAgainAndAgain(world: GatewaySimulation, kind: RequestKind): Promise<void> {
   for (let turn = 0; turn < TIMES; turn += 1) {
     world.request(turn, kind, 'tenant-2', 0, CRASHING_BODY);
     await world.clock.advance(GAP_MS);
   }
 }
 
-function crashesOf(world: GatewayWorld): number {
+function crashesOf(world: GatewaySimulation): number {
   return world.observations.crashes.filter(({ crashedMs }) => crashedMs !== undefined).length;
 }
 
 test('a request that crashes engines is stopped soon after its third crash', async (t) => {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   await sendAgainAndAgain(world, 'stream-once');
   await world.settle();
   t.deepEqual(findBreaches(world), []);
@@ -59,7 +59,7 @@
 
 for (const kind of ['stream-resumable', 'plain-safe', 'plain-unsafe'] as const) {
   test(`a ${kind} request that crashes engines is stopped, and its caller is told for good`, async (t) => {
-    const world = await GatewayWorld.create(SEED);
+    const world = await GatewaySimulation.create(SEED);
     await sendAgainAndAgain(world, kind);
     t.deepEqual(findBreaches(world), []);
     const own = world.requests.at(-1)?.reply.own;
@@ -69,7 +69,7 @@
 }
 
 test('routers that all lose their memory read from the store which request crashes engines', async (t) => {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   await sendAgainAndAgain(world, 'stream-once');
   const before = crashesOf(world);
   for (let index = 0; index < world.routerCount; index += 1) world.killRouter(index, DOWN_MS);
@@ -80,7 +80,7 @@
 });
 
 test('a router that starts, or stood still, hears of the quarantine before it is held to it', async (t) => {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   world.cutFromStore(0, CUT_MS);
   world.freezeRouter(1, FROZEN_MS);
   world.killRouter(0, DOWN_MS);
@@ -96,7 +96,7 @@
 });
 
 test('an operator who removes the entry lifts the quarantine at all routers', async (t) => {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   await sendAgainAndAgain(world, 'plain-safe');
   const [entry] = world.store.all(KINDS.quarantine);
   t.is((entry?.spec as QuarantineRecord).route, 'plain-safe');
@@ -114,7 +114,7 @@
 });
 
 test('a prompt that is asked all the time is not blamed for engines that crash under it', async (t) => {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   for (let turn = 0; turn < HOT_TIMES; turn += 1) {
     world.request(turn, 'stream-resumable', 'tenant-2', 0, 'hot prompt');
     if (turn % HOT_PER_CRASH === 0) world.fleet.crash(turn / HOT_PER_CRASH);
--- a/test/gateway/directory-bound.test.ts
+++ b/test/gateway/directory-bound.test.ts
@@ -1,6 +1,6 @@
 /** For how long the directory goes on naming routers that lost their power. */
 import test from 'ava';
-import { GroupWorld } from '../helpers/group-world.js';
+import { GroupHarness } from '../helpers/group-harness.js';
 
 /** Whatever the size of the group and of the loss; the users' bench tolerates about six seconds. */
 const BOUND_MS = 3_500;
@@ -20,7 +20,7 @@
 ];
 
 /** The longest time that any router was off when some directory still named it. */
-async function longestNamedOffMs(world: GroupWorld): Promise<number> {
+async function longestNamedOffMs(world: GroupHarness): Promise<number> {
   let longestMs = 0;
   for (let spentMs = 0; spentMs < OBSERVED_MS; spentMs += STEP_MS) {
     await world.clock.advance(STEP_MS);
@@ -31,7 +31,7 @@
 
 for (const [routers, lost] of LOSSES) {
   test(`of ${routers} routers ${lost} lose their power and are not named for long`, async (t) => {
-    const world = await GroupWorld.create(routers, routers + lost);
+    const world = await GroupHarness.create(routers, routers + lost);
     await world.clock.advance(SETTLING_MS);
     for (let index = 0; index < lost; index += 1) world.powerOff(index);
     const longestMs = await longestNamedOffMs(world);
@@ -40,7 +40,7 @@
 }
 
 test('a router that starts meanwhile does not name the dead for longer', async (t) => {
-  const world = await GroupWorld.create(8, 21);
+  const world = await GroupHarness.create(8, 21);
   await world.clock.advance(SETTLING_MS);
   for (const index of [3, 4, 5]) world.powerOff(index);
   await world.clock.advance(1_000);
@@ -51,7 +51,7 @@
 });
 
 test('a router that was frozen does not name those that lost their power meanwhile', async (t) => {
-  const world = await GroupWorld.create(8, 22);
+  const world = await GroupHarness.create(8, 22);
   await world.clock.advance(SETTLING_MS);
   const frozen = world.routers[0]?.host;
   frozen?.pause();
@@ -65,7 +65,7 @@
 });
 
 test('a router that is cut off from the others soon names only itself', async (t) => {
-  const world = await GroupWorld.create(8, 23);
+  const world = await GroupHarness.create(8, 23);
   await world.clock.advance(SETTLING_MS);
   world.network.cutAll((left, right) => left === 'router-0' || right === 'router-0');
   await world.clock.advance(BOUND_MS);
@@ -77,7 +77,7 @@
 });
 
 test('routers that run are all named, in a group that loses datagrams too', async (t) => {
-  const world = await GroupWorld.create(8, 24);
+  const world = await GroupHarness.create(8, 24);
   world.network.faults.datagramLoss = 0.1;
   await world.clock.advance(SETTLING_MS);
   for (let spentMs = 0; spentMs < OBSERVED_MS; spentMs += STEP_MS) {
@@ -87,7 +87,7 @@
 });
 
 test('in a large group nearly all that run are named, though each hears few of them itself', async (t) => {
-  const world = await GroupWorld.create(60, 25);
+  const world = await GroupHarness.create(60, 25);
   await world.clock.advance(SETTLING_MS);
   await world.clock.advance(2_000);
   const shares = world.running.map(({ group }) => group.responding.length / 60);
--- a/test/gateway/engine-health.test.ts
+++ b/test/gateway/engine-health.test.ts
@@ -1,8 +1,8 @@
 /** How long engines that refuse without asking for a pause are left alone. */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import { EngineMode } from '../../src/lab/gateway-world/simulated-engine.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import { EngineMode } from '../../src/lab/gateway-simulation/simulated-engine.js';
 import { EngineHealth } from '../../src/state/routing/engine-health.js';
 
 const ENGINE = 'engine-1';
@@ -53,7 +53,7 @@
 
 test('engines that refuse everything for a while cost callers few refusals', async (t) => {
   for (const seed of [1, 2, 3]) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     const refusing = REFUSING_ENGINES.map((index) => world.engine(index));
     for (const engine of refusing) engine.mode = EngineMode.Busy;
     for (let spentMs = 0; spentMs < REFUSING_MS; spentMs += STEP_MS) {
--- a/test/gateway/engine-rebirth.test.ts
+++ b/test/gateway/engine-incarnations.test.ts
@@ -1,12 +1,12 @@
 /** An engine that starts again under its name: nothing of its former life is taken for the new one. */
 import test from 'ava';
 import fc from 'fast-check';
-import { DECODER } from '../../src/lab/gateway-world/world-fixtures.js';
+import { DECODER } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { StoredObject } from '../../src/protocol/object-store/port.js';
-import { incarnationOf, lifeOf } from '../../src/state/routing/engine-incarnation.js';
+import { incarnationOf, parseIncarnation } from '../../src/state/routing/engine-incarnation.js';
 import type { EngineRecord } from '../../src/state/routing/engine-registry.js';
-import { ANNOUNCEMENT_MS, coordinatorWorld } from '../helpers/coordinator-world.js';
-import { EngineListWorld } from '../helpers/engine-list-world.js';
+import { ANNOUNCEMENT_MS, coordinatorHarness } from '../helpers/coordinator-harness.js';
+import { EngineListHarness } from '../helpers/engine-list-harness.js';
 import { engineRecord } from '../helpers/engine-record.js';
 import { positionAt } from '../helpers/positions.js';
 
@@ -21,13 +21,13 @@
   return { name: record.name, position: positionAt(revision), spec };
 }
 
-function listWorld(): EngineListWorld {
-  const world = new EngineListWorld({ decoder: DECODER });
+function listWorld(): EngineListHarness {
+  const world = new EngineListHarness({ decoder: DECODER });
   world.list.takeAll([entryOf(engineRecord(NAME, FIRST_MS), 5)]);
   return world;
 }
 
-function presentBorn({ registry }: EngineListWorld): number | undefined {
+function presentBorn({ registry }: EngineListHarness): number | undefined {
   return registry.findByName(NAME)?.record.bornMs;
 }
 
@@ -35,7 +35,7 @@
   const name = fc.string({ minLength: 1 }).filter((text) => !/@\d{1,16}$/.test(text));
   const start = fc.option(fc.nat(), { nil: undefined });
   const property = fc.property(name, start, (text, bornMs) => {
-    t.deepEqual(lifeOf(incarnationOf(text, bornMs)), { name: text, bornMs });
+    t.deepEqual(parseIncarnation(incarnationOf(text, bornMs)), { name: text, bornMs });
   });
   fc.assert(property, SEED);
 });
@@ -218,7 +218,7 @@
 );
 
 /** Shows the list a life; answers are to calls that were addressed to the life in the list. */
-function show(world: EngineListWorld, { bornMs, source }: LifeStep, revision: number): void {
+function show(world: EngineListHarness, { bornMs, source }: LifeStep, revision: number): void {
   if (source === 'entry') world.list.take(entryOf(engineRecord(NAME, bornMs), revision));
   else if (source === 'gone') world.list.takeGone(NAME, positionAt(revision));
   else if (source === 'news') world.lives.noteIncarnation(incarnationOf(NAME, bornMs));
@@ -256,7 +256,7 @@
 
 test('in whatever order entries and answers come, only its own answer returns a life that a later one has followed', (t) => {
   const property = fc.property(LIFE_STEPS, (steps) => {
-    const world = new EngineListWorld({ decoder: DECODER });
+    const world = new EngineListHarness({ decoder: DECODER });
     const oracle = new LifeOracle();
     for (const [index, step] of steps.entries()) {
       const before = presentBorn(world);
@@ -270,7 +270,7 @@
 
 test('whatever was heard before, the entry and an answer of the engine that lives bring it back', (t) => {
   const property = fc.property(LIFE_STEPS, fc.integer({ min: 1, max: 5 }), (steps, bornMs) => {
-    const world = new EngineListWorld({ decoder: DECODER });
+    const world = new EngineListHarness({ decoder: DECODER });
     for (const [index, step] of steps.entries()) show(world, step, index);
     fc.pre(presentBorn(world) !== undefined);
     show(world, { bornMs, source: 'entry' }, steps.length);
@@ -281,7 +281,7 @@
 });
 
 test('an order that another life took is not believed', async (t) => {
-  const world = coordinatorWorld({
+  const world = coordinatorHarness({
     bornMs: FIRST_MS,
     order: () => Promise.resolve({ kind: 'accepted', bornMs: SECOND_MS }),
   });
@@ -296,7 +296,7 @@
 
 test('the answer of a former life that comes after the rebirth changes nothing at the new one', async (t) => {
   let answer: (result: { kind: 'accepted' }) => void = () => undefined;
-  const world = coordinatorWorld({
+  const world = coordinatorHarness({
     bornMs: FIRST_MS,
     order: () => new Promise((resolve) => (answer = resolve)),
   });
@@ -312,7 +312,7 @@
 });
 
 test('the number of orders that another life states is not used for the one that was asked', async (t) => {
-  const world = coordinatorWorld({
+  const world = coordinatorHarness({
     bornMs: SECOND_MS,
     state: () => ({ bornMs: FIRST_MS, orderSequence: 9 }),
   });
@@ -323,7 +323,7 @@
 });
 
 test('an order that was announced to a former life is not given to the one that followed', async (t) => {
-  const world = coordinatorWorld({ bornMs: FIRST_MS });
+  const world = coordinatorHarness({ bornMs: FIRST_MS });
   while (world.announcedMs.length === 0) await world.clock.advance(10);
   world.lives.takeEntry(engineRecord(NAME, SECOND_MS, { modelVersions: new Map() }));
   await world.clock.advance(ANNOUNCEMENT_MS + 50);
@@ -333,7 +333,7 @@
 });
 
 test('news of a later life that another router passes on end the former one', (t) => {
-  const world = coordinatorWorld({ bornMs: FIRST_MS });
+  const world = coordinatorHarness({ bornMs: FIRST_MS });
   const news = { model: 'model-a', version: 2, isLoading: true, ageMs: 0 };
   world.coordinator.receiveNews({ ...news, engineId: incarnationOf(NAME, FIRST_MS - 1) });
   t.is(world.registry.findByName(NAME)?.record.bornMs, FIRST_MS);
--- a/test/gateway/engine-limits.test.ts
+++ b/test/gateway/engine-limits.test.ts
@@ -14,9 +14,9 @@
  * and no line of any router names a limit.
  */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import { sendAllKinds, servedShare } from '../../src/lab/gateway-world/world-traffic.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import { sendAllKinds, servedShare } from '../../src/lab/gateway-simulation/simulation-traffic.js';
 
 const SEEDS = [1, 2, 3];
 const STEP_MS = 20;
@@ -30,7 +30,7 @@
 
 test('engines that name a limit get no more while others serve', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     for (const index of [GENERATION_ENGINE, PLAIN_ENGINE]) {
       world.limitEngine(index, LIMIT_PER_SECOND);
     }
@@ -42,7 +42,7 @@
 
 test('engines that all name a limit get no more, and callers are told to come back', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     for (let index = 0; index < ENGINES; index += 1) world.limitEngine(index, LIMIT_PER_SECOND);
     await sendAllKinds(world, LIMITED_MS, STEP_MS);
     t.deepEqual(findBreaches(world), []);
@@ -57,7 +57,7 @@
 test('a router that no answer has told keeps to a limit that another was told', async (t) => {
   const BURST = 20;
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     for (const index of [PLAIN_ENGINE, PLAIN_ENGINE + 1]) world.limitEngine(index, 2);
     for (let count = 0; count < BURST; count += 1) world.request(0, 'plain-safe', 'tenant-2', 0);
     await world.clock.advance(500);
@@ -71,7 +71,7 @@
 
 test('a lifted limit is known to all routers soon after one of them learnt it', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     for (const index of [PLAIN_ENGINE, PLAIN_ENGINE + 1]) world.limitEngine(index, 0.5);
     await sendAllKinds(world, 6_000, STEP_MS);
     for (const index of [PLAIN_ENGINE, PLAIN_ENGINE + 1]) world.limitEngine(index, undefined);
--- a/test/gateway/engine-notices.test.ts
+++ b/test/gateway/engine-notices.test.ts
@@ -18,10 +18,10 @@
  *   each followed by     send_failed kind=refused status=503 reason=engine-refused-503
  */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import { EngineMode } from '../../src/lab/gateway-world/simulated-engine.js';
-import { sendAllKinds, servedShare } from '../../src/lab/gateway-world/world-traffic.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import { EngineMode } from '../../src/lab/gateway-simulation/simulated-engine.js';
+import { sendAllKinds, servedShare } from '../../src/lab/gateway-simulation/simulation-traffic.js';
 
 const SEEDS = [1, 2, 3];
 const STEP_MS = 20;
@@ -34,7 +34,7 @@
 
 test('engines that leave while the store is out get no more requests', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     world.stopStore(STORE_OUT_MS);
     world.fleet.leave(GENERATION_ENGINE);
     world.fleet.leave(PLAIN_ENGINE);
@@ -47,7 +47,7 @@
 
 test('engines that ask for a pause get none while others serve', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     const refusing = [GENERATION_ENGINE, PLAIN_ENGINE].map((index) => world.engine(index));
     for (const engine of refusing) {
       engine.mode = EngineMode.Busy;
@@ -61,7 +61,7 @@
 
 test('engines that all ask for a pause get none, and callers hear when it ends', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     for (let index = 0; index <= PLAIN_ENGINE + 1; index += 1) {
       const engine = world.engine(index);
       engine.mode = EngineMode.Busy;
--- a/test/gateway/engine-restart.test.ts
+++ b/test/gateway/engine-restart.test.ts
@@ -1,15 +1,18 @@
 /** Engines that start again under their names, each with one scenario of its own. */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import { OddEntry } from '../../src/lab/gateway-world/odd-entry.js';
-import { OrderFault, type Rebirth } from '../../src/lab/gateway-world/simulated-fleet.js';
-import { DECODER, KINDS } from '../../src/lab/gateway-world/world-fixtures.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import { MalformedEntry } from '../../src/lab/gateway-simulation/malformed-entry.js';
+import {
+  OrderFault,
+  type EngineRestart,
+} from '../../src/lab/gateway-simulation/simulated-fleet.js';
+import { DECODER, KINDS } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 import { incarnationOf } from '../../src/state/routing/engine-incarnation.js';
-import { EngineListWorld } from '../helpers/engine-list-world.js';
+import { EngineListHarness } from '../helpers/engine-list-harness.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
-const AT_ONCE: Rebirth = {
+const AT_ONCE: EngineRestart = {
   downMs: 1,
   cutMs: 0,
   entryDelayMs: 0,
@@ -19,7 +22,7 @@
 const LOAD_MS = 400;
 
 /** Sends streams through all routers, a few milliseconds apart. */
-async function sendStreams(world: GatewayWorld, count: number): Promise<void> {
+async function sendStreams(world: GatewaySimulation, count: number): Promise<void> {
   for (let turn = 0; turn < count; turn += 1) {
     world.request(turn, 'stream-resumable', 'tenant-2', 0);
     await world.clock.advance(4);
@@ -31,7 +34,7 @@
   // Longer than the clocks of two machines may differ.
   const DOWN_MS = 700;
   const LISTED_MS = 100;
-  const world = await GatewayWorld.create(11);
+  const world = await GatewaySimulation.create(11);
   await sendStreams(world, 12);
   const running = world.engine(0).running.size;
   world.fleet.restart(0, { ...AT_ONCE, downMs: DOWN_MS, cutMs: CUT_MS });
@@ -43,7 +46,7 @@
 });
 
 test('an engine that lost its load in a restart is brought to the newest weights again', async (t) => {
-  const world = await GatewayWorld.create(12);
+  const world = await GatewaySimulation.create(12);
   world.nameWeights();
   await sendStreams(world, 2_000);
   t.is(world.engine(0).weightsVersion, 2);
@@ -56,7 +59,7 @@
 });
 
 test('an order that arrives at a later life is taken once, and newer weights follow it', async (t) => {
-  const world = await GatewayWorld.create(13);
+  const world = await GatewaySimulation.create(13);
   for (let count = 0; count < 3; count += 1) world.fleet.orderFaults.push(OrderFault.Late);
   world.nameWeights();
   await sendStreams(world, 250);
@@ -70,7 +73,7 @@
 });
 
 test('an engine that restarts while it drains serves again', async (t) => {
-  const world = await GatewayWorld.create(14);
+  const world = await GatewaySimulation.create(14);
   world.fleet.drain(0);
   await world.clock.advance(LOAD_MS);
   const drained = world.engine(0).id;
@@ -89,7 +92,7 @@
   const SEEN_MS = 50;
   const BEYOND_DRAIN_BOUND_MS = 2_200;
   const STEP_MS = 4_000;
-  const world = await GatewayWorld.create(16);
+  const world = await GatewaySimulation.create(16);
   // The last two routers see the store late, so that answers show them a life before its entry does.
   world.cutFromStore(1, 12_000);
   world.toggleKey('tenant-1', 0);
@@ -120,10 +123,10 @@
   t.deepEqual(findBreaches(world), []);
 });
 
-for (const odd of Object.values(OddEntry)) {
+for (const odd of Object.values(MalformedEntry)) {
   test(`an odd entry (${odd}) names no engine, and one that was overwritten serves on later`, async (t) => {
     const HEARTBEAT_MS = 1_200;
-    const world = await GatewayWorld.create(15);
+    const world = await GatewaySimulation.create(15);
     world.fleet.addOddEntry(odd);
     world.fleet.overwriteEntry(0, odd);
     await world.clock.advance(LOAD_MS);
@@ -144,7 +147,7 @@
   const FORMER_MS = 2_000;
   // The engine's clock has stepped back between its lives; the store took this entry last.
   const PRESENT_MS = 1_000;
-  const { lives, registry } = new EngineListWorld({ decoder: DECODER });
+  const { lives, registry } = new EngineListHarness({ decoder: DECODER });
   lives.takeEntry(engineRecord('engine-1', FORMER_MS));
   lives.takeEntry(engineRecord('engine-1', PRESENT_MS));
   // Another router, which is cut off from the store, still speaks of the former life.
--- a/test/gateway/entry-lapse.test.ts
+++ b/test/gateway/entry-lapse.test.ts
@@ -1,11 +1,11 @@
 /** Entries of engines that run out while the store is down come back with the next heartbeat. */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import type { StoredEngine } from '../../src/lab/gateway-world/stored-engine.js';
-import { DECODER } from '../../src/lab/gateway-world/world-fixtures.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import type { StoredEngine } from '../../src/lab/gateway-simulation/stored-engine.js';
+import { DECODER } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 import { incarnationOf } from '../../src/state/routing/engine-incarnation.js';
-import { EngineListWorld } from '../helpers/engine-list-world.js';
+import { EngineListHarness } from '../helpers/engine-list-harness.js';
 import { engineRecord } from '../helpers/engine-record.js';
 import { positionAt } from '../helpers/positions.js';
 
@@ -14,7 +14,7 @@
 const STEP_MS = 20;
 
 test('engines whose entries lapsed with the store go on serving', async (t) => {
-  const world = await GatewayWorld.create(1);
+  const world = await GatewaySimulation.create(1);
   world.lapseEntries(DOWN_MS, REENTER_MS);
   await world.clock.advance(DOWN_MS);
   const first = world.requests.length;
@@ -32,7 +32,7 @@
 });
 
 test('entries that come back two seconds after the store find their engines in service', async (t) => {
-  const world = await GatewayWorld.create(3, { settings: { drainMs: 4_000 } });
+  const world = await GatewaySimulation.create(3, { settings: { drainMs: 4_000 } });
   const LATE_REENTER_MS = 2_000;
   world.lapseEntries(DOWN_MS, LATE_REENTER_MS);
   await world.clock.advance(DOWN_MS + 1_000);
@@ -50,7 +50,7 @@
 });
 
 test('an engine that was gone when the store came back is left out soon', async (t) => {
-  const world = await GatewayWorld.create(2);
+  const world = await GatewaySimulation.create(2);
   const gone = world.engine(4);
   world.lapseEntries(DOWN_MS, REENTER_MS);
   gone.crash();
@@ -67,7 +67,7 @@
 
 test('an entry that is missing is waited for within the bound on engines that leave', async (t) => {
   const SHORT_DRAIN_MS = 1_000;
-  const { clock, registry, list } = new EngineListWorld({
+  const { clock, registry, list } = new EngineListHarness({
     decoder: DECODER,
     drainMs: SHORT_DRAIN_MS,
   });
@@ -90,7 +90,7 @@
 });
 
 test('a life that others report while its engine has no entry is left out when the wait is over', async (t) => {
-  const { list, lives, registry, clock } = new EngineListWorld({ decoder: DECODER });
+  const { list, lives, registry, clock } = new EngineListHarness({ decoder: DECODER });
   lives.takeEntry(engineRecord('engine-1', 1_000));
   list.noteFailure();
   list.takeGone('engine-1');
@@ -113,8 +113,8 @@
 const ENTRY_LIFETIME_MS = 3_600;
 
 /** A list that has seen an entry go, and finds it again in a store that was restored from a copy that holds it. */
-async function listWithGoneEntry(): Promise<EngineListWorld> {
-  const world = new EngineListWorld({ decoder: DECODER });
+async function listWithGoneEntry(): Promise<EngineListHarness> {
+  const world = new EngineListHarness({ decoder: DECODER });
   world.list.takeAll([{ name: LISTED.name, position: positionAt(2, 1), spec: LISTED }]);
   await world.clock.advance(10_000);
   world.list.takeGone(LISTED.name, positionAt(2, 1));
--- a/test/gateway/hostile-configuration.test.ts
+++ b/test/gateway/hostile-configuration.test.ts
@@ -1,12 +1,12 @@
 /** A configuration that is valid by its form, however odd, never ends the routers that read it. */
 import test from 'ava';
 import fc from 'fast-check';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
 import {
   KINDS,
   type RequestKind,
-  worldConfiguration,
-} from '../../src/lab/gateway-world/world-fixtures.js';
+  simulationConfiguration,
+} from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 import type {
   Route,
   RoutingConfiguration,
@@ -74,7 +74,7 @@
   .tuple(changeOfRoute, changeOfService, fc.boolean(), fc.boolean())
   .map(([route, service, hasTenants, hasServices]) => {
     const tenants = hasTenants ? [{ name: 'tenant-1', keys: ['key-1a'] }] : [];
-    const sound = worldConfiguration(FIRST_VERSION, tenants);
+    const sound = simulationConfiguration(FIRST_VERSION, tenants);
     return {
       ...sound,
       routes: sound.routes.map((each) => ({ ...each, ...route })),
@@ -84,13 +84,17 @@
 
 test('routers go on after any configuration, and serve again after a sound one', async (t) => {
   const property = fc.asyncProperty(anyConfiguration, async (configuration) => {
-    const world = await GatewayWorld.create(SEED);
+    const world = await GatewaySimulation.create(SEED);
     world.store.put(KINDS.configuration, 'main', configuration);
     await world.clock.advance(100);
     for (const [index, kind] of REQUEST_KINDS.entries()) world.request(index, kind, 'tenant-1', 0);
     await world.clock.advance(SETTLED_MS);
     const tenants = [{ name: 'tenant-1', keys: ['key-1a'] }];
-    world.store.put(KINDS.configuration, 'main', worldConfiguration(FIRST_VERSION + 1, tenants));
+    world.store.put(
+      KINDS.configuration,
+      'main',
+      simulationConfiguration(FIRST_VERSION + 1, tenants),
+    );
     await world.clock.advance(100);
     for (const [index, kind] of REQUEST_KINDS.entries()) world.request(index, kind, 'tenant-1', 0);
     await world.clock.advance(SETTLED_MS);
--- a/test/gateway/lease-after-restoration.test.ts
+++ b/test/gateway/lease-after-restoration.test.ts
@@ -1,8 +1,8 @@
 /** The lease on orders where the store comes back from an older copy: with an older record, another's, or none. */
 import test from 'ava';
 import { LeaseKeeper } from '../../src/coordination/gateway/lease-keeper.js';
-import { SimulatedObjectStore } from '../../src/lab/gateway-world/simulated-object-store.js';
-import { SimulatedStorePort } from '../../src/lab/gateway-world/simulated-store-port.js';
+import { SimulatedObjectStore } from '../../src/lab/gateway-simulation/simulated-object-store.js';
+import { SimulatedStorePort } from '../../src/lab/gateway-simulation/simulated-store-port.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { SilentLogger } from '../../src/runtime/logger.js';
 import { StoreEra, StorePosition } from '../../src/runtime/store-position.js';
--- a/test/gateway/load-collection.test.ts
+++ b/test/gateway/load-collection.test.ts
@@ -5,7 +5,7 @@
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
 import { SilentLogger } from '../../src/runtime/logger.js';
-import { GroupWorld } from '../helpers/group-world.js';
+import { GroupHarness } from '../helpers/group-harness.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
 const ROUTERS = 40;
@@ -20,8 +20,8 @@
   readonly collection: LoadCollection;
 }
 
-async function collectingGroup(seed: number): Promise<[GroupWorld, CollectingRouter[]]> {
-  const world = await GroupWorld.create(ROUTERS, seed);
+async function collectingGroup(seed: number): Promise<[GroupHarness, CollectingRouter[]]> {
+  const world = await GroupHarness.create(ROUTERS, seed);
   const registry = new EngineRegistry();
   registry.put(
     engineRecord(ENGINE, undefined, { zone: 'zone-0', slots: 16, modelVersions: new Map() }),
--- a/test/gateway/order-announcement.test.ts
+++ b/test/gateway/load-command-announcement.test.ts
@@ -1,9 +1,9 @@
 /** An order for new weights leaves when the other routers have heard that its engine is about to load. */
 import test from 'ava';
-import { ANNOUNCEMENT_MS, coordinatorWorld } from '../helpers/coordinator-world.js';
+import { ANNOUNCEMENT_MS, coordinatorHarness } from '../helpers/coordinator-harness.js';
 
 test('an order follows its announcement by the time that needs to reach the others', async (t) => {
-  const { clock, coordinator, health, announcedMs, orderedMs } = coordinatorWorld();
+  const { clock, coordinator, health, announcedMs, orderedMs } = coordinatorHarness();
   await clock.advance(1_200);
   t.is(orderedMs.length, 1);
   t.true((orderedMs[0] ?? 0) - (announcedMs[0] ?? Infinity) >= ANNOUNCEMENT_MS);
@@ -12,14 +12,14 @@
 });
 
 test('an engine of a service that is not configured gets no order', async (t) => {
-  const { clock, coordinator, orders } = coordinatorWorld({ isKnownService: false });
+  const { clock, coordinator, orders } = coordinatorHarness({ isKnownService: false });
   await clock.advance(2_000);
   t.deepEqual(orders, []);
   coordinator.stop();
 });
 
 test('a lease that was lost since the announcement gives no order', async (t) => {
-  const { clock, coordinator, lease, health, announcedMs, orderedMs } = coordinatorWorld();
+  const { clock, coordinator, lease, health, announcedMs, orderedMs } = coordinatorHarness();
   while (announcedMs.length === 0) await clock.advance(10);
   lease.activeToken = undefined;
   await clock.advance(ANNOUNCEMENT_MS + 50);
@@ -29,7 +29,7 @@
 });
 
 test('a router that leaves after its announcement gives no order', async (t) => {
-  const { clock, coordinator, announcedMs, orderedMs } = coordinatorWorld();
+  const { clock, coordinator, announcedMs, orderedMs } = coordinatorHarness();
   while (announcedMs.length === 0) await clock.advance(10);
   coordinator.leave();
   await clock.advance(1_000);
--- a/test/gateway/order-book.test.ts
+++ b/test/gateway/load-commands.test.ts
@@ -1,15 +1,15 @@
 /** What a router remembers of its orders, and whose turn it is to give them. */
 import test from 'ava';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
-import { OrderBook } from '../../src/state/routing/order-book.js';
-import { OrderTurn } from '../../src/state/routing/order-turn.js';
+import { LoadCommands } from '../../src/state/routing/load-commands.js';
+import { CoordinatorSuccession } from '../../src/state/routing/coordinator-succession.js';
 import { engineRecord } from '../helpers/engine-record.js';
 import { positionAt } from '../helpers/positions.js';
 
 const MODEL = 'model-a';
 
 test('an engine that takes no order is left alone for longer each time, until one is done', (t) => {
-  const book = new OrderBook();
+  const book = new LoadCommands();
   let nowMs = 0;
   const pauses: number[] = [];
   for (let turn = 0; turn < 5; turn += 1) {
@@ -30,7 +30,7 @@
 });
 
 test('engines are asked first when the fastest load seen is nearly over', (t) => {
-  const book = new OrderBook();
+  const book = new LoadCommands();
   book.open('first', MODEL, 2, 0);
   t.is(book.toPoll(399).length, 0);
   t.is(book.toPoll(400).length, 1);
@@ -41,7 +41,7 @@
 });
 
 test('a load that lasts is told anew each second, and its end for a while', (t) => {
-  const book = new OrderBook();
+  const book = new LoadCommands();
   book.open('engine', MODEL, 2, 0);
   t.like(book.news(900)[0], { isLoading: true, ageMs: 900 });
   t.like(book.news(1_100)[0], { isLoading: true, ageMs: 100 });
@@ -55,7 +55,7 @@
   const routers = ['a', 'b', 'c', 'd'];
   const turns = routers.map(
     (own) =>
-      new OrderTurn(
+      new CoordinatorSuccession(
         own,
         () => routers,
         (router) => routers.includes(router),
--- a/test/gateway/passed-over.test.ts
+++ b/test/gateway/peer-cooldowns.test.ts
@@ -1,9 +1,9 @@
 /** A router that did not answer is passed over for a while, or until it answers. */
 import test from 'ava';
-import { PassedOver } from '../../src/state/routing/passed-over.js';
+import { PeerCooldowns } from '../../src/state/routing/peer-cooldowns.js';
 
 test('a router is passed over until the time is up, counted from its last silence', (t) => {
-  const passedOver = new PassedOver(100);
+  const passedOver = new PeerCooldowns(100);
   t.false(passedOver.has('router-0', 0));
   passedOver.add('router-0', 0);
   t.true(passedOver.has('router-0', 99));
@@ -14,7 +14,7 @@
 });
 
 test('a router that answers is not passed over any more', (t) => {
-  const passedOver = new PassedOver(100);
+  const passedOver = new PeerCooldowns(100);
   passedOver.add('router-0', 0);
   passedOver.remove('router-0');
   t.false(passedOver.has('router-0', 1));
--- a/test/gateway/placement-shortcuts.test.ts
+++ b/test/gateway/placement-shortcuts.test.ts
@@ -5,8 +5,8 @@
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { cacheSaltOf } from '../../src/state/routing/generation.js';
 import { HomeRanking } from '../../src/state/routing/home-ranking.js';
-import { KeptPrefixes } from '../../src/state/routing/kept-prefixes.js';
-import { KeptBySalt, bestSource } from '../../src/state/routing/prompt-sources.js';
+import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
+import { CachedPromptsBySalt, bestSource } from '../../src/state/routing/prompt-sources.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
 const MODEL = 'model-a';
@@ -49,7 +49,7 @@
 test('an engine takes a prompt from where it would if it looked at all that keep it', (t) => {
   const property = fc.property(fc.array(anyHolder, { maxLength: 20 }), (holders) => {
     const registry = new EngineRegistry();
-    const kept = new KeptPrefixes();
+    const kept = new CachedPrefixes();
     const salt = cacheSaltOf(MODEL, 1, undefined);
     holders.forEach(({ zone, keptParts }, index) => {
       const id = `engine-${index}`;
@@ -62,7 +62,7 @@
     kept.setReported(new Set(reported));
     const candidates = registry.ofService(SERVICE);
     const generation = { model: MODEL, parts: PARTS, promptTokens: 900, maximumOutputTokens: 9 };
-    const bySalt = new KeptBySalt(
+    const bySalt = new CachedPromptsBySalt(
       { generation, isolatedTenant: undefined, candidates, profile: PROFILE, stores: [] },
       kept,
     );
--- a/test/gateway/placement-under-load.test.ts
+++ b/test/gateway/placement-under-load.test.ts
@@ -1,6 +1,6 @@
 /** Streams at engines that read long prompts, under load: what routers know of each other's work decides. */
 import test from 'ava';
-import { PlacementWorld } from '../helpers/placement-world.js';
+import { PlacementHarness } from '../helpers/placement-harness.js';
 
 /** Both kinds of a shared deployment, a third over the usual load: one engine in two reads at any moment. */
 const LONG = {
@@ -32,7 +32,7 @@
   reportPeriodMs: number;
   reportFanout?: number;
 }): Promise<{ long: number; short: number }> {
-  const world = await PlacementWorld.create({ ...SCENARIO, ...reports });
+  const world = await PlacementHarness.create({ ...SCENARIO, ...reports });
   await world.play(PLAY_MS);
   const shareOf = (name: string): number => {
     const figures = world.figures.get(name);
--- a/test/gateway/placement.test.ts
+++ b/test/gateway/placement.test.ts
@@ -6,7 +6,7 @@
 import { EngineHealth } from '../../src/state/routing/engine-health.js';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { HomeRanking } from '../../src/state/routing/home-ranking.js';
-import { KeptPrefixes } from '../../src/state/routing/kept-prefixes.js';
+import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
 import {
   type Placement,
@@ -37,7 +37,7 @@
   return {
     loads: new LoadTable(),
     health: new EngineHealth(),
-    kept: new KeptPrefixes(),
+    kept: new CachedPrefixes(),
     versions: new WeightVersions(7_000, new StoreOutages()),
     random: new SeededRandom(seed),
     homes: new HomeRanking(hasher),
--- a/test/gateway/quarantine-writes.test.ts
+++ b/test/gateway/quarantine-writes.test.ts
@@ -2,11 +2,11 @@
 import test from 'ava';
 import { CrashProtection } from '../../src/coordination/gateway/crash-protection.js';
 import { GatewayStatistics } from '../../src/coordination/gateway/gateway-statistics.js';
-import { SimulatedFleet } from '../../src/lab/gateway-world/simulated-fleet.js';
-import { SimulatedInference } from '../../src/lab/gateway-world/simulated-inference.js';
-import { EngineObservations } from '../../src/lab/gateway-world/simulated-engine.js';
-import { SimulatedObjectStore } from '../../src/lab/gateway-world/simulated-object-store.js';
-import { SimulatedStorePort } from '../../src/lab/gateway-world/simulated-store-port.js';
+import { SimulatedFleet } from '../../src/lab/gateway-simulation/simulated-fleet.js';
+import { SimulatedInference } from '../../src/lab/gateway-simulation/simulated-inference.js';
+import { EngineObservations } from '../../src/lab/gateway-simulation/simulated-engine.js';
+import { SimulatedObjectStore } from '../../src/lab/gateway-simulation/simulated-object-store.js';
+import { SimulatedStorePort } from '../../src/lab/gateway-simulation/simulated-store-port.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { SilentLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
--- a/test/gateway/quota-account.test.ts
+++ b/test/gateway/quota-account.test.ts
@@ -10,8 +10,8 @@
   chargeOf,
   excessAllowed,
 } from '../../src/state/routing/quota/tenant-limit.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import { STREAM_TOKENS } from '../../src/lab/gateway-world/world-fixtures.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import { STREAM_TOKENS } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 
 const TOLERANCE: QuotaTolerance = { windowMs: 8_000, overageShare: 0.1, slack: 110_000 };
 const LIMIT: TenantLimit = {
@@ -132,7 +132,7 @@
 test('callers beyond the limit get 429 at once, and nothing of them runs', async (t) => {
   const limit = { ...LIMIT, ratePerSecond: STREAM_TOKENS, burst: 4 * STREAM_TOKENS };
   const settings = { quotaTolerance: { windowMs: 8_000, overageShare: 0.1, slack: 0 } };
-  const world = await GatewayWorld.create(61, { tenantLimit: limit, settings });
+  const world = await GatewaySimulation.create(61, { tenantLimit: limit, settings });
   const REQUESTS = 60;
   for (let index = 0; index < REQUESTS; index += 1) {
     world.request(index % 3, 'stream-once', 'tenant-2', 0);
--- a/test/gateway/relay-eras.test.ts
+++ b/test/gateway/relay-eras.test.ts
@@ -17,7 +17,7 @@
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { elapsedAt } from '../helpers/instants.js';
 import { positionAt } from '../helpers/positions.js';
-import { KIND, RelayWorld, SETTINGS, member } from '../helpers/relay-world.js';
+import { KIND, RelayHarness, SETTINGS, member } from '../helpers/relay-harness.js';
 
 function thing(revision: number, era: number, spec: unknown = revision): StoredObject {
   return { name: `thing-${revision}`, position: positionAt(revision, era), spec };
@@ -72,7 +72,7 @@
 });
 
 test('a follower takes the restored state from its reader', async (t) => {
-  const world = await RelayWorld.create(2);
+  const world = await RelayHarness.create(2);
   const [reader, follower] = world.stores as [RelayedObjectStore, RelayedObjectStore];
   world.store.put(KIND, 'first', 1);
   const copiedMs = world.clock.now();
@@ -130,7 +130,7 @@
 });
 
 test('a router that is cut from a restored store takes its state from another router', async (t) => {
-  const world = await RelayWorld.create(2, { ...SETTINGS, directGroupSize: 5 });
+  const world = await RelayHarness.create(2, { ...SETTINGS, directGroupSize: 5 });
   const [other, cut] = world.stores as [RelayedObjectStore, RelayedObjectStore];
   world.store.put(KIND, 'first', 1);
   const copiedMs = world.clock.now();
--- a/test/gateway/request-quarantine.test.ts
+++ b/test/gateway/request-quarantine.test.ts
@@ -2,10 +2,13 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {
-  decodeCrashNews,
-  encodeCrashNews,
-} from '../../src/coordination/gateway/crash-news-codec.js';
-import { type CrashNews, CrashNewsBoard } from '../../src/state/routing/crash-news-board.js';
+  decodeCrashAnnouncements,
+  encodeCrashAnnouncements,
+} from '../../src/coordination/gateway/crash-announcement-codec.js';
+import {
+  type CrashAnnouncements,
+  CrashAnnouncementQueue,
+} from '../../src/state/routing/crash-announcement-queue.js';
 import {
   QUARANTINE_LIFETIME_MS,
   QuarantineChange,
@@ -92,7 +95,7 @@
 });
 
 test('each notice goes into four reports, and requests in quarantine are repeated by turns', (t) => {
-  const board = new CrashNewsBoard();
+  const board = new CrashAnnouncementQueue();
   board.addCrash('engine-0', ['a', 'b'], 100);
   board.addClearance('c', 200);
   const since = new Map(Array.from({ length: 20 }, (_, index) => [`q-${index}`, 0] as const));
@@ -115,7 +118,7 @@
 });
 
 test('what several routers found of one crash goes into one notice while it has room', (t) => {
-  const board = new CrashNewsBoard();
+  const board = new CrashAnnouncementQueue();
   const ROUTERS = 20;
   for (let router = 0; router < ROUTERS; router += 1) {
     board.addCrash('engine-0', [`request-${router}`], router);
@@ -136,7 +139,7 @@
   const fingerprint = fc
     .uint8Array({ minLength: 16, maxLength: 16 })
     .map((bytes) => Buffer.from(bytes).toString('hex'));
-  const anyNews: fc.Arbitrary<CrashNews> = fc.record({
+  const anyNews: fc.Arbitrary<CrashAnnouncements> = fc.record({
     crashes: fc.array(
       fc.record({
         engineId: fc.string(),
@@ -148,7 +151,7 @@
   });
   fc.assert(
     fc.property(anyNews, (news) => {
-      t.deepEqual(decodeCrashNews(encodeCrashNews(news)), news);
+      t.deepEqual(decodeCrashAnnouncements(encodeCrashAnnouncements(news)), news);
     }),
     { seed: 8, numRuns: 100 },
   );
--- a/test/gateway/requests-at-rebirth.test.ts
+++ b/test/gateway/requests-at-engine-restart.test.ts
@@ -1,10 +1,16 @@
 /** Requests that an engine was running when it started again under its name. */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld, type ObservedRequest } from '../../src/lab/gateway-world/gateway-world.js';
-import { EngineMode, type SimulatedEngine } from '../../src/lab/gateway-world/simulated-engine.js';
-import type { Rebirth } from '../../src/lab/gateway-world/simulated-fleet.js';
-import type { RequestKind } from '../../src/lab/gateway-world/world-fixtures.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import {
+  GatewaySimulation,
+  type ObservedRequest,
+} from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import {
+  EngineMode,
+  type SimulatedEngine,
+} from '../../src/lab/gateway-simulation/simulated-engine.js';
+import type { EngineRestart } from '../../src/lab/gateway-simulation/simulated-fleet.js';
+import type { RequestKind } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 
 const SEED = 43;
 /** Requests enough that the engine that hangs gets some. */
@@ -15,7 +21,7 @@
 const NOTICED_MS = 1_000;
 
 /** The engine starts again; its connections from before show nothing until the end of the test. */
-const BEHIND_CUT: Rebirth = {
+const BEHIND_CUT: EngineRestart = {
   downMs: 1,
   cutMs: 60_000,
   entryDelayMs: 0,
@@ -25,10 +31,10 @@
 
 /** What the engine runs from now on hangs. */
 async function worldWithHungEngine(index: number): Promise<{
-  world: GatewayWorld;
+  world: GatewaySimulation;
   engine: SimulatedEngine;
 }> {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   const engine = world.engine(index);
   engine.mode = EngineMode.Hanging;
   return { world, engine };
@@ -36,7 +42,7 @@
 
 /** Sends requests; answers those that hang at the engine. */
 async function sendAll(
-  world: GatewayWorld,
+  world: GatewaySimulation,
   engine: SimulatedEngine,
   kind: RequestKind,
 ): Promise<ObservedRequest[]> {
@@ -51,7 +57,7 @@
   return world.requests.filter(({ id }) => ids.has(id));
 }
 
-function runsOf(world: GatewayWorld, id: string): number {
+function runsOf(world: GatewaySimulation, id: string): number {
   return world.observations.runs.filter(({ requestId }) => requestId === id).length;
 }
 
@@ -84,7 +90,7 @@
 });
 
 test('what kept work from the former life does not keep it from the new one', async (t) => {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   const DOWN_MS = (REQUESTS + 1) * STEP_MS;
   world.fleet.restart(3, { ...BEHIND_CUT, downMs: DOWN_MS, cutMs: 0 });
   // Each router finds that it can't connect, and leaves the engine alone for a second.
@@ -102,7 +108,7 @@
 });
 
 test('a request that runs in the new life goes on when its entry comes', async (t) => {
-  const world = await GatewayWorld.create(SEED);
+  const world = await GatewaySimulation.create(SEED);
   const entryDelayMs = (REQUESTS + 1) * STEP_MS;
   world.fleet.restart(3, { ...BEHIND_CUT, cutMs: 0, entryDelayMs });
   await world.clock.advance(BEHIND_CUT.downMs);
--- a/test/gateway/routing-state.test.ts
+++ b/test/gateway/routing-state.test.ts
@@ -1,7 +1,7 @@
 /** Pure parts of the routing state, by properties. */
 import test from 'ava';
 import fc from 'fast-check';
-import { KeptPrefixes } from '../../src/state/routing/kept-prefixes.js';
+import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
 import { type HeldFeed, ownShareOfFeeds } from '../../src/state/routing/feed-share.js';
 import { SharedRetryBudget } from '../../src/state/routing/shared-retry-budget.js';
 import { TrafficSplit } from '../../src/state/routing/traffic-split.js';
@@ -15,7 +15,7 @@
   const part = fc.constantFrom('p', 'q', 'r');
   const note = fc.tuple(holder, salt, part, fc.constantFrom(0, 5, 10));
   const property = fc.property(fc.array(note, { maxLength: 40 }), (notes) => {
-    const kept = new KeptPrefixes();
+    const kept = new CachedPrefixes();
     const table = new Map<string, number>();
     for (const [name, salted, id, tokens] of notes) {
       kept.note(name, salted, id, tokens);
@@ -76,7 +76,7 @@
 });
 
 test('what a holder without a feed keeps is forgotten after a while, unless noted again', (t) => {
-  const kept = new KeptPrefixes();
+  const kept = new CachedPrefixes();
   const tokensAt = (holder: string): number =>
     kept.leadingTokens('salt', [{ id: 'part', tokens: 5 }]).get(holder) ?? 0;
   for (const holder of ['reported', 'silent', 'used']) kept.note(holder, 'salt', 'part', 5);
--- a/test/gateway/begin-watch.test.ts
+++ b/test/gateway/run-start-deadline.test.ts
@@ -1,6 +1,6 @@
 /** Until when a request that was sent may begin on the weights of its engine. */
 import test from 'ava';
-import { BeginWatch } from '../../src/coordination/gateway/begin-watch.js';
+import { RunStartDeadline } from '../../src/coordination/gateway/run-start-deadline.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
 import { WeightVersions } from '../../src/state/routing/weight-versions.js';
@@ -14,8 +14,8 @@
   const clock = new VirtualClock();
   const versions = new WeightVersions(GRACE_MS, new StoreOutages(), SLACK_MS);
   const expiredMs: number[] = [];
-  const watch = (): BeginWatch =>
-    new BeginWatch(MODEL, 1, { versions, clock }, () => expiredMs.push(clock.now()));
+  const watch = (): RunStartDeadline =>
+    new RunStartDeadline(MODEL, 1, { versions, clock }, () => expiredMs.push(clock.now()));
   return { clock, versions, watch, expiredMs };
 }
 
--- a/test/gateway/weights-begin.test.ts
+++ b/test/gateway/run-start-on-replaced-weights.test.ts
@@ -14,9 +14,12 @@
  *   10.161 engine i-19b54700ee begins to run it, 8144 ms after version 2 was named
  */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import { type RequestKind, WORLD_BOUNDS } from '../../src/lab/gateway-world/world-fixtures.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import {
+  type RequestKind,
+  SIMULATION_BOUNDS,
+} from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 
 const STEP_MS = 20;
 /** How long requests wait at the slow engines; the routers expect some milliseconds. */
@@ -29,8 +32,8 @@
   seed: number,
   kind: RequestKind,
   steadyMs = 0,
-): Promise<GatewayWorld> {
-  const world = await GatewayWorld.create(seed);
+): Promise<GatewaySimulation> {
+  const world = await GatewaySimulation.create(seed);
   const engines = world.fleet.generationEngines;
   for (const engine of engines) {
     engine.takesOrders = false;
@@ -38,7 +41,7 @@
   }
   await world.clock.advance(steadyMs);
   world.nameWeights();
-  const untilMs = WORLD_BOUNDS.versionMs + SILENT_AFTER_BOUND_MS;
+  const untilMs = SIMULATION_BOUNDS.versionMs + SILENT_AFTER_BOUND_MS;
   for (let spentMs = 0; spentMs < untilMs; spentMs += STEP_MS) {
     world.request(spentMs / STEP_MS, kind, 'tenant-2', 0);
     await world.clock.advance(STEP_MS);
--- a/test/gateway/send-turns.test.ts
+++ b/test/gateway/send-slots.test.ts
@@ -2,12 +2,12 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { EngineLimits } from '../../src/state/routing/engine-limits.js';
-import type { TurnInterval } from '../../src/state/routing/send-turns.js';
+import type { SlotInterval } from '../../src/state/routing/send-slots.js';
 
 const ENGINE = 'engine-1';
 const START_MS = 1_767_225_600_000;
 const WINDOW_MS = 4_000;
-const FULL: TurnInterval = { from: 0, to: 1 };
+const FULL: SlotInterval = { from: 0, to: 1 };
 
 /** Requests that a group would send to one engine. */
 interface Demand {
@@ -83,7 +83,7 @@
 });
 
 test('routers use turns in proportion to their intervals', (t) => {
-  const count = ({ from, to }: TurnInterval): number => {
+  const count = ({ from, to }: SlotInterval): number => {
     const limits = new EngineLimits();
     limits.noteNamed(ENGINE, 10, 0);
     let sent = 0;
--- a/test/gateway/store-order.test.ts
+++ b/test/gateway/store-order.test.ts
@@ -14,7 +14,7 @@
 import { SeededRandom } from '../../src/runtime/random.js';
 import { StorePosition } from '../../src/runtime/store-position.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
-import { KIND, RelayWorld } from '../helpers/relay-world.js';
+import { KIND, RelayHarness } from '../helpers/relay-harness.js';
 import { EngineRegistry, type EngineRecord } from '../../src/state/routing/engine-registry.js';
 import { elapsedAt } from '../helpers/instants.js';
 import { engineRecord } from '../helpers/engine-record.js';
@@ -143,7 +143,7 @@
 });
 
 test('a router hears a change through a reader whose list was overtaken by it', async (t) => {
-  const world = await RelayWorld.create(2);
+  const world = await RelayHarness.create(2);
   const [reader, follower] = world.stores as [RelayedObjectStore, RelayedObjectStore];
   world.store.put(KIND, 'engine-1', { isDraining: false });
   await world.run(reader.list(KIND, ListFreshness.Current));
--- a/test/gateway/store-outage.test.ts
+++ b/test/gateway/store-outage.test.ts
@@ -8,7 +8,7 @@
 import { SilentLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { chooseReaders } from '../../src/state/routing/store-readers.js';
-import { KIND, RelayWorld, member } from '../helpers/relay-world.js';
+import { KIND, RelayHarness, member } from '../helpers/relay-harness.js';
 import { ElapsedInstant } from '../../src/runtime/elapsed-instant.js';
 import { silentFollowerEvents } from '../helpers/silent-follower-events.js';
 
@@ -23,7 +23,7 @@
 
 /** A large group whose routers all follow one kind; `proofs` holds each router's newest one. */
 async function followedGroup(routers: number) {
-  const world = await RelayWorld.create(routers, LARGE);
+  const world = await RelayHarness.create(routers, LARGE);
   world.store.put(KIND, 'first', { value: 1 });
   const proofs = world.stores.map(() => ElapsedInstant.never);
   for (const [index, store] of world.stores.entries()) {
--- a/test/gateway/store-relay.test.ts
+++ b/test/gateway/store-relay.test.ts
@@ -13,14 +13,14 @@
 } from '../../src/protocol/peer/relay-codec.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import type { FrameConnection } from '../../src/transport/frame-transport.js';
-import { KIND, RelayWorld, SETTINGS } from '../helpers/relay-world.js';
+import { KIND, RelayHarness, SETTINGS } from '../helpers/relay-harness.js';
 import { ElapsedInstant } from '../../src/runtime/elapsed-instant.js';
 import type { StorePosition } from '../../src/runtime/store-position.js';
 import { positionAt } from '../helpers/positions.js';
 
 /** Lists at both, then lets the reader follow without end. */
-async function followedWorld(): Promise<{ world: RelayWorld; position: StorePosition }> {
-  const world = await RelayWorld.create(2);
+async function followedWorld(): Promise<{ world: RelayHarness; position: StorePosition }> {
+  const world = await RelayHarness.create(2);
   world.store.put(KIND, 'first', { value: 1 });
   const [reader, follower] = world.stores as [RelayedObjectStore, RelayedObjectStore];
   await world.run(reader.list(KIND, ListFreshness.Current));
@@ -38,7 +38,7 @@
 }
 
 /** Age of a proof in milliseconds; Infinity where there is none. */
-function proofAgeMs(world: RelayWorld, proven: ElapsedInstant | undefined): number {
+function proofAgeMs(world: RelayHarness, proven: ElapsedInstant | undefined): number {
   return world.clock.elapsed().since(proven ?? ElapsedInstant.never);
 }
 
--- a/test/gateway/store-restored.test.ts
+++ b/test/gateway/store-restored.test.ts
@@ -14,12 +14,12 @@
  */
 import test from 'ava';
 import { ObjectFollower } from '../../src/coordination/gateway/object-follower.js';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import { OddEntry } from '../../src/lab/gateway-world/odd-entry.js';
-import { SimulatedObjectStore } from '../../src/lab/gateway-world/simulated-object-store.js';
-import { SimulatedStorePort } from '../../src/lab/gateway-world/simulated-store-port.js';
-import { sendAllKinds } from '../../src/lab/gateway-world/world-traffic.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import { MalformedEntry } from '../../src/lab/gateway-simulation/malformed-entry.js';
+import { SimulatedObjectStore } from '../../src/lab/gateway-simulation/simulated-object-store.js';
+import { SimulatedStorePort } from '../../src/lab/gateway-simulation/simulated-store-port.js';
+import { sendAllKinds } from '../../src/lab/gateway-simulation/simulation-traffic.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { ListFreshness } from '../../src/protocol/object-store/port.js';
 import { SilentLogger } from '../../src/runtime/logger.js';
@@ -38,7 +38,7 @@
 const SERVED_AGAIN_MS = 1_500;
 
 /** The operator changes the configuration several times, each a little after the other. */
-async function changeConfiguration(world: GatewayWorld, times: number): Promise<void> {
+async function changeConfiguration(world: GatewaySimulation, times: number): Promise<void> {
   for (let change = 0; change < times; change += 1) {
     world.toggleKey('tenant-1', 0);
     await sendAllKinds(world, CHANGE_GAP_MS, STEP_MS);
@@ -46,14 +46,14 @@
 }
 
 /** Share of the requests sent since a moment that were answered with success, 0 to 1. */
-function servedSince(world: GatewayWorld, sinceMs: number): number {
+function servedSince(world: GatewaySimulation, sinceMs: number): number {
   const sent = world.requests.filter(({ sentMs }) => sentMs >= sinceMs);
   return sent.filter(({ reply }) => reply.status === 200).length / sent.length;
 }
 
 test('a restored store is followed as soon as it answers', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     await changeConfiguration(world, 4);
     world.restoreStore(LOST);
     await sendAllKinds(world, LOST.awayMs, STEP_MS);
@@ -74,11 +74,11 @@
 
 test('an engine that leaves is heard though its entry had a higher revision', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     await changeConfiguration(world, 4);
     // The engines write their entries again with their next heartbeats, within the span that is lost.
     for (const engine of GENERATION_ENGINES) {
-      world.fleet.overwriteEntry(engine, OddEntry.FieldMissing);
+      world.fleet.overwriteEntry(engine, MalformedEntry.FieldMissing);
     }
     await sendAllKinds(world, 1_400, STEP_MS);
     world.restoreStore({ ...LOST, lostMs: 3_000 });
@@ -139,7 +139,7 @@
 
 test('a restored store with an older configuration proves nothing', async (t) => {
   for (const seed of SEEDS) {
-    const world = await GatewayWorld.create(seed);
+    const world = await GatewaySimulation.create(seed);
     await world.clock.advance(LOST.lostMs);
     world.toggleKey('tenant-2', 1);
     await world.clock.advance(CHANGE_GAP_MS);
