--- a/test/gateway/suspended-machine.test.ts
+++ b/test/gateway/suspended-machine.test.ts
@@ -1,8 +1,8 @@
 /** What a router may still rely on when its machine wakes from a suspension that its steady clock missed. */
 import test from 'ava';
 import fc from 'fast-check';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
-import type { WorldMutation } from '../../src/lab/gateway-world/world-mutation.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
+import type { SimulationMutation } from '../../src/lab/gateway-simulation/simulation-mutation.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import {
@@ -13,10 +13,10 @@
 import { StoreEra } from '../../src/runtime/store-position.js';
 import { StoreEras } from '../../src/state/routing/store-eras.js';
 import { LeaseStep, WeightLease } from '../../src/state/routing/weight-lease.js';
-import { LONGEST_SILENCE_MS } from '../../src/coordination/gateway/group-membership.js';
+import { HEARTBEAT_TIMEOUT_MS } from '../../src/coordination/gateway/group-membership.js';
 import { SharedRetryBudget } from '../../src/state/routing/shared-retry-budget.js';
-import { GroupWorld } from '../helpers/group-world.js';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
+import { GroupHarness } from '../helpers/group-harness.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
 import { positionAt } from '../helpers/positions.js';
 
 const SUSPENDED_MS = 7_000;
@@ -26,8 +26,8 @@
 const REPORT_MS = 750;
 
 /** A key is taken away while a router is suspended; it is asked with that key in the moment it wakes. */
-async function askAsItWakes(mutation: WorldMutation): Promise<GatewayWorld> {
-  const world = await GatewayWorld.create(33, mutation);
+async function askAsItWakes(mutation: SimulationMutation): Promise<GatewaySimulation> {
+  const world = await GatewaySimulation.create(33, mutation);
   world.cutFromStore(0, CUT_MS);
   world.suspendRouter(0, SUSPENDED_MS);
   world.toggleKey('tenant-1', 0);
@@ -141,7 +141,7 @@
 });
 
 test('a router that wakes names one that died meanwhile no longer than others name a dead one', async (t) => {
-  const world = await GroupWorld.create(8, 22);
+  const world = await GroupHarness.create(8, 22);
   await world.clock.advance(GROUP_SETTLED_MS);
   const suspended = world.routers[0]?.host;
   suspended?.suspend();
@@ -149,12 +149,12 @@
   world.powerOff(3);
   await world.clock.advance(SUSPENDED_MS);
   suspended?.wake();
-  await world.clock.advance(LONGEST_SILENCE_MS + REPORT_MS);
+  await world.clock.advance(HEARTBEAT_TIMEOUT_MS + REPORT_MS);
   t.is(world.longestNamedOffMs(), 0);
 });
 
 test('an engine that drained while a router was suspended gets no work from it once its list is read', async (t) => {
-  const world = await GatewayWorld.create(34);
+  const world = await GatewaySimulation.create(34);
   world.suspendRouter(0, SUSPENDED_MS);
   await world.clock.advance(100);
   const draining = world.engine(0);
--- a/test/gateway/tenant-quota.test.ts
+++ b/test/gateway/tenant-quota.test.ts
@@ -1,6 +1,6 @@
 /** Limits of tenants that all routers keep together: what engines run for a tenant, over every window. */
 import test from 'ava';
-import { QuotaWorld, type TenantDemand, limitOf } from '../helpers/quota-world.js';
+import { QuotaHarness, type TenantDemand, limitOf } from '../helpers/quota-harness.js';
 
 /** A large and a small tenant, at the share of their limits that they usually send. */
 const USUAL_SHARE = 1 / 1.8;
@@ -26,7 +26,7 @@
 const PLAY_MS = 10_000;
 
 test('calm: nothing below the limit is refused', async (t) => {
-  const world = await QuotaWorld.create(ROUTERS, 1, demands());
+  const world = await QuotaHarness.create(ROUTERS, 1, demands());
   await world.play(PLAY_MS);
   for (const name of ['large', 'small']) {
     const figures = world.figuresOf(name);
@@ -36,7 +36,7 @@
 });
 
 test('a tenant that sends several times its usual stays within its limit at all routers', async (t) => {
-  const world = await QuotaWorld.create(ROUTERS, 2, demands());
+  const world = await QuotaHarness.create(ROUTERS, 2, demands());
   await world.play(2_000);
   for (const tenant of world.tenants) tenant.tokensPerSecond *= 7.5;
   await world.play(PLAY_MS);
@@ -48,7 +48,7 @@
 });
 
 test('routers that all restart grant no second burst', async (t) => {
-  const world = await QuotaWorld.create(ROUTERS, 3, demands(7.5));
+  const world = await QuotaHarness.create(ROUTERS, 3, demands(7.5));
   await world.play(4_000);
   await world.restartAll(700);
   await world.play(PLAY_MS);
@@ -59,7 +59,7 @@
 });
 
 test('a third of the routers, cut off for as long as its configuration is proven', async (t) => {
-  const world = await QuotaWorld.create(ROUTERS, 4, demands(4.6));
+  const world = await QuotaHarness.create(ROUTERS, 4, demands(4.6));
   await world.play(4_000);
   world.cutOff(0.35);
   await world.play(4_600);
@@ -85,7 +85,7 @@
 const CUT_MS = 4_600;
 
 /** The routers that keep the accounts and some more: one of three, a quarter of a small group, else a third. */
-function accountantsAmong(world: QuotaWorld, groupSize: number): number[] {
+function accountantsAmong(world: QuotaHarness, groupSize: number): number[] {
   const accountants = [world.accountantOf('large'), world.accountantOf('small')];
   const SMALLEST_WITH_TWO = 8;
   if (groupSize < SMALLEST_WITH_TWO) return accountants.slice(0, 1);
@@ -98,7 +98,7 @@
 for (const [groupSize, seeds] of SEEDS_BY_GROUP_SIZE) {
   for (const seed of seeds) {
     test(`accountants cut off at the begin of a burst: ${groupSize} routers, seed ${seed}`, async (t) => {
-      const world = await QuotaWorld.create(groupSize, seed, demands());
+      const world = await QuotaHarness.create(groupSize, seed, demands());
       await world.play(2_000);
       for (const tenant of world.tenants) tenant.tokensPerSecond *= BURST_TIMES;
       await world.play(1_000);
@@ -116,7 +116,7 @@
 }
 
 test('routers agree again on who keeps an account soon after a cut has healed', async (t) => {
-  const world = await QuotaWorld.create(8, 1, demands(BURST_TIMES));
+  const world = await QuotaHarness.create(8, 1, demands(BURST_TIMES));
   await world.play(4_000);
   world.cutOffRouters(accountantsAmong(world, 8));
   await world.play(CUT_MS);
@@ -137,7 +137,7 @@
 });
 
 test('an accountant that falls silent does not take the next one with it', async (t) => {
-  const world = await QuotaWorld.create(ROUTERS, 1, demands(BURST_TIMES));
+  const world = await QuotaHarness.create(ROUTERS, 1, demands(BURST_TIMES));
   await world.play(4_000);
   world.cutOffRouters([world.accountantOf('large')]);
   const beforeCut = world.charges.length;
@@ -150,7 +150,7 @@
 });
 
 test('a limit that is lowered far below what is sent binds at once', async (t) => {
-  const world = await QuotaWorld.create(ROUTERS, 5, demands());
+  const world = await QuotaHarness.create(ROUTERS, 5, demands());
   await world.play(3_000);
   world.changeLimits(
     new Map([
@@ -168,7 +168,7 @@
 
 test('a router that has restarted is not given the answers of its life before', async (t) => {
   const ROUTERS_OF_FEW = 4;
-  const world = await QuotaWorld.create(ROUTERS_OF_FEW, 6, demands(7.5));
+  const world = await QuotaHarness.create(ROUTERS_OF_FEW, 6, demands(7.5));
   const RESTARTS = 12;
   for (let restart = 0; restart < RESTARTS; restart += 1) {
     await world.play(600);
--- a/test/gateway/weight-handover.test.ts
+++ b/test/gateway/weight-handover.test.ts
@@ -1,13 +1,13 @@
 /** A router that gives orders for new weights may stop, die or lose its way to the store. */
 import test from 'ava';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
 
 const STEP_MS = 50;
 const BOUND_MS = 8_000;
 
 /** Names weights, waits for the first order and answers which router gave it. */
-async function untilFirstOrder(world: GatewayWorld): Promise<number> {
+async function untilFirstOrder(world: GatewaySimulation): Promise<number> {
   const before = world.observations.orders.length;
   world.nameWeights();
   for (let spentMs = 0; spentMs < BOUND_MS; spentMs += STEP_MS) {
@@ -19,7 +19,7 @@
 }
 
 /** Requests for `spanMs`, and how many of them an engine answered. */
-async function servedShare(world: GatewayWorld, spanMs: number): Promise<number> {
+async function servedShare(world: GatewaySimulation, spanMs: number): Promise<number> {
   const first = world.requests.length;
   for (let spentMs = 0; spentMs < spanMs; spentMs += STEP_MS) {
     world.request(spentMs / STEP_MS, 'stream-resumable', 'tenant-2', 0);
@@ -31,7 +31,7 @@
 }
 
 test('engines that a leaving router was loading are used again, and others go on', async (t) => {
-  const world = await GatewayWorld.create(1);
+  const world = await GatewaySimulation.create(1);
   const holder = await untilFirstOrder(world);
   world.stopRouter(holder, 7_500);
   t.true((await servedShare(world, 7_000)) > 0.9);
@@ -40,7 +40,7 @@
 });
 
 test('another router goes on where the holder dies', async (t) => {
-  const world = await GatewayWorld.create(2);
+  const world = await GatewaySimulation.create(2);
   const holder = await untilFirstOrder(world);
   world.killRouter(holder, 20_000);
   await world.clock.advance(12_000);
@@ -49,7 +49,7 @@
 });
 
 test('another router goes on where the holder has no way to the store', async (t) => {
-  const world = await GatewayWorld.create(3);
+  const world = await GatewaySimulation.create(3);
   const holder = await untilFirstOrder(world);
   world.cutFromStore(holder, 30_000);
   await world.clock.advance(14_000);
@@ -58,7 +58,7 @@
 });
 
 /** Requests all the while, until the engines have the newest weights; how long that took. */
-async function loadedAfterMs(world: GatewayWorld, limitMs: number): Promise<number> {
+async function loadedAfterMs(world: GatewaySimulation, limitMs: number): Promise<number> {
   let spentMs = 0;
   while (
     world.fleet.generationEngines.some((engine) => engine.weightsVersion < world.namedVersion)
@@ -72,7 +72,7 @@
 }
 
 /** Requests for some seconds, so that routers know what is asked. */
-async function warmUp(world: GatewayWorld): Promise<void> {
+async function warmUp(world: GatewaySimulation): Promise<void> {
   for (let spentMs = 0; spentMs < 3_500; spentMs += STEP_MS) {
     world.request(spentMs / STEP_MS, 'stream-resumable', 'tenant-2', 0);
     await world.clock.advance(STEP_MS);
@@ -80,7 +80,7 @@
 }
 
 test('where much is asked, engines take new weights at once', async (t) => {
-  const world = await GatewayWorld.create(4);
+  const world = await GatewaySimulation.create(4);
   await warmUp(world);
   world.nameWeights();
   t.true((await loadedAfterMs(world, 12_000)) < 4_000);
@@ -89,7 +89,7 @@
 });
 
 test('a holder that loses its way to the store in the middle is replaced within the lease time', async (t) => {
-  const world = await GatewayWorld.create(5);
+  const world = await GatewaySimulation.create(5);
   await warmUp(world);
   const holder = await untilFirstOrder(world);
   world.cutFromStore(holder, 30_000);
@@ -99,7 +99,7 @@
 });
 
 test('a router without a way to the store hears of new weights from the others', async (t) => {
-  const world = await GatewayWorld.create(6);
+  const world = await GatewaySimulation.create(6);
   await warmUp(world);
   const holder = await untilFirstOrder(world);
   await world.clock.advance(8_000);
@@ -111,7 +111,7 @@
 });
 
 test('the last router does not wait for those that have just died', async (t) => {
-  const world = await GatewayWorld.create(7);
+  const world = await GatewaySimulation.create(7);
   await warmUp(world);
   await untilFirstOrder(world);
   await world.clock.advance(8_000);
--- a/test/gateway/weights-news.test.ts
+++ b/test/gateway/weight-load-announcements.test.ts
@@ -12,21 +12,29 @@
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
-import { type WeightsNews, WeightsNewsBoard } from '../../src/state/routing/weights-news.js';
+import {
+  type WeightLoadAnnouncement,
+  WeightLoadAnnouncements,
+} from '../../src/state/routing/weight-load-announcements.js';
 import type { DatagramTransport } from '../../src/transport/datagram-transport.js';
 import { silentGroupEvents } from '../helpers/silent-group-events.js';
 
 const MODEL = 'model-a';
 const ROUTERS = 40;
 
-function newsOf(engineId: string, version: number, isLoading: boolean, ageMs = 0): WeightsNews {
+function newsOf(
+  engineId: string,
+  version: number,
+  isLoading: boolean,
+  ageMs = 0,
+): WeightLoadAnnouncement {
   return { engineId, model: MODEL, version, isLoading, ageMs };
 }
 
 test('whatever the order of arrival, the last step of an engine stays', (t) => {
   const step = fc.record({ version: fc.integer({ min: 1, max: 4 }), isLoading: fc.boolean() });
   const property = fc.property(fc.array(step, { minLength: 1, maxLength: 12 }), (steps) => {
-    const board = new WeightsNewsBoard();
+    const board = new WeightLoadAnnouncements();
     for (const { version, isLoading } of steps) {
       board.take(newsOf('engine', version, isLoading), 1_000);
     }
@@ -41,7 +49,7 @@
 });
 
 test('news are told for a while, and the same news again only from a load that lasts', (t) => {
-  const board = new WeightsNewsBoard();
+  const board = new WeightLoadAnnouncements();
   t.true(board.take(newsOf('engine', 2, true), 0));
   t.false(board.take(newsOf('engine', 2, true, 300), 300));
   t.true(board.take(newsOf('engine', 2, true), 1_000));
@@ -77,8 +85,8 @@
 interface Peer {
   readonly group: GroupMembership;
   readonly transport: CountingTransport;
-  readonly heard: WeightsNews[];
-  own: WeightsNews[];
+  readonly heard: WeightLoadAnnouncement[];
+  own: WeightLoadAnnouncement[];
 }
 
 async function largeGroup(clock: VirtualClock): Promise<Peer[]> {
@@ -89,8 +97,8 @@
     const name = `router-${index}`;
     network.attach(name, new HostClock(clock));
     const transport = new CountingTransport(new SimulatedDatagramTransport(sockets, name));
-    const heard: WeightsNews[] = [];
-    const peer = { transport, heard, own: [] as WeightsNews[] };
+    const heard: WeightLoadAnnouncement[] = [];
+    const peer = { transport, heard, own: [] as WeightLoadAnnouncement[] };
     const events = silentGroupEvents({
       weightsNews: () => peer.own,
       onWeightsNews: (news) => heard.push(news),
--- a/test/gateway/weight-outage.test.ts
+++ b/test/gateway/weight-outage.test.ts
@@ -2,8 +2,8 @@
 import { fc } from '@fast-check/ava';
 import test from 'ava';
 import { LeaseKeeper } from '../../src/coordination/gateway/lease-keeper.js';
-import { findBreaches } from '../../src/lab/gateway-world/gateway-oracle.js';
-import { GatewayWorld } from '../../src/lab/gateway-world/gateway-world.js';
+import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
+import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
 import { ProtocolFailure } from '../../src/protocol/errors.js';
 import type { ObjectStorePort } from '../../src/protocol/object-store/port.js';
 import { SilentLogger } from '../../src/runtime/logger.js';
@@ -46,7 +46,7 @@
 
 test('weights named before an outage do not leave the service without an engine', async (t) => {
   const OUTAGE_MS = 6_500;
-  const world = await GatewayWorld.create(11);
+  const world = await GatewaySimulation.create(11);
   world.nameWeights();
   await world.clock.advance(1_000);
   world.stopStore(OUTAGE_MS);
--- a/test/gateway/version-news.test.ts
+++ b/test/gateway/weight-version-discovery.test.ts
@@ -1,7 +1,7 @@
 /** When a version of weights was named, as far as a router can know it. */
 import test from 'ava';
-import { VersionNews } from '../../src/coordination/gateway/version-news.js';
-import { DECODER, WORLD_MODEL } from '../../src/lab/gateway-world/world-fixtures.js';
+import { WeightVersionDiscovery } from '../../src/coordination/gateway/weight-version-discovery.js';
+import { DECODER, SIMULATION_MODEL } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
 import { SilentLogger } from '../../src/runtime/logger.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
@@ -14,9 +14,9 @@
 
 function namedObject(version: number) {
   return {
-    name: WORLD_MODEL,
+    name: SIMULATION_MODEL,
     position: positionAt(version),
-    spec: { model: WORLD_MODEL, version },
+    spec: { model: SIMULATION_MODEL, version },
   };
 }
 
@@ -28,7 +28,7 @@
   let announcements = 0;
   const startedMs = clock.now();
   const parts = { versions, decoder: DECODER, startedMs, clock, logger: new SilentLogger() };
-  const news = new VersionNews(parts, UNSEEN_AGE_MS, () => (announcements += 1));
+  const news = new WeightVersionDiscovery(parts, UNSEEN_AGE_MS, () => (announcements += 1));
   return { clock, versions, news, announced: () => announcements };
 }
 
@@ -40,7 +40,7 @@
   news.takeChange(namedObject(2), false);
   news.noteAnswer(clock.elapsed(), false);
   // However late it is shown: a router is held to its bounds a fixed time after its start.
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), START_MS - UNSEEN_AGE_MS + GRACE_MS);
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), START_MS - UNSEEN_AGE_MS + GRACE_MS);
   t.is(announced(), 0);
   t.deepEqual(news.notices, []);
 });
@@ -52,7 +52,7 @@
   news.noteAnswer(clock.elapsed(), false);
   await clock.advance(1_000);
   news.takeChange(namedObject(2), false);
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), clock.now() + GRACE_MS);
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() + GRACE_MS);
   t.is(announced(), 1);
 });
 
@@ -62,8 +62,8 @@
   news.noteAnswer(clock.elapsed(), false);
   news.takeChange(namedObject(2), false);
   news.noteAnswer(clock.elapsed(), false);
-  news.receive({ model: WORLD_MODEL, version: 2, ageMs: 2_500 });
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), clock.now() - 2_500 + GRACE_MS);
+  news.receive({ model: SIMULATION_MODEL, version: 2, ageMs: 2_500 });
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 2_500 + GRACE_MS);
 });
 
 test('what is found after a watch has failed may have been named since the last proof', async (t) => {
@@ -75,7 +75,7 @@
   await clock.advance(3_800);
   news.noteFailure();
   news.takeChange(namedObject(2), false);
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), clock.now() - 3_800 + GRACE_MS);
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 3_800 + GRACE_MS);
   t.is(announced(), 0);
   t.deepEqual(news.notices, []);
 });
@@ -90,7 +90,7 @@
   news.noteAnswer(clock.elapsed(), false);
   await clock.advance(1_000);
   news.takeChange(namedObject(2), false);
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), clock.now() + GRACE_MS);
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() + GRACE_MS);
 });
 
 test('a change that another router relays is dated by the last proof and witnessed by nobody', async (t) => {
@@ -104,7 +104,7 @@
   news.noteAnswer(proven, true);
   await clock.advance(100);
   news.takeChange(namedObject(2), true);
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), clock.now() - 1_400 + GRACE_MS);
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 1_400 + GRACE_MS);
   t.is(announced(), 0);
   t.deepEqual(news.notices, []);
 });
@@ -116,7 +116,7 @@
   news.noteAnswer(clock.elapsed(), true);
   await clock.advance(1_500);
   news.takeChange(namedObject(2), false);
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), clock.now() - 1_500 + GRACE_MS);
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 1_500 + GRACE_MS);
 });
 
 test('what is named as the store comes back is not dated before it was out', async (t) => {
@@ -130,5 +130,5 @@
   news.noteFailure();
   news.takeChange(namedObject(2), false);
   // The time since the first failure, which the bound does not count.
-  t.is(versions.dueMs(WORLD_MODEL, 1, clock.now()), clock.now() - 6_000 + GRACE_MS);
+  t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 6_000 + GRACE_MS);
 });
--- a/test/helpers/coordinator-world.ts
+++ b/test/helpers/coordinator-harness.ts
@@ -1,5 +1,8 @@
 /** A router that holds the lease on orders, before one engine whose weights are out of time. */
-import { EngineLives, type Rebirth } from '../../src/coordination/gateway/engine-lives.js';
+import {
+  EngineIncarnationTracker,
+  type EngineRestart,
+} from '../../src/coordination/gateway/engine-incarnation-tracker.js';
 import { GatewayStatistics } from '../../src/coordination/gateway/gateway-statistics.js';
 import type { LeaseKeeper } from '../../src/coordination/gateway/lease-keeper.js';
 import { WeightCoordinator } from '../../src/coordination/gateway/weight-coordinator.js';
@@ -13,7 +16,7 @@
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { EngineHealth } from '../../src/state/routing/engine-health.js';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
-import { KeptPrefixes } from '../../src/state/routing/kept-prefixes.js';
+import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
 import { SendRate } from '../../src/state/routing/send-rate.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
@@ -33,14 +36,14 @@
 }
 
 /** A router that holds the lease, before one engine whose weights are out of time. */
-export function coordinatorWorld(options: CoordinatorOptions = {}) {
+export function coordinatorHarness(options: CoordinatorOptions = {}) {
   const clock = new VirtualClock();
   const registry = new EngineRegistry();
-  const rebirths: Rebirth[] = [];
+  const rebirths: EngineRestart[] = [];
   const statistics = new GatewayStatistics();
   const logger = new SilentLogger();
-  const lives = new EngineLives(registry, statistics, logger);
-  lives.connect({ onChanged: () => undefined, onReborn: (rebirth) => rebirths.push(rebirth) });
+  const lives = new EngineIncarnationTracker(registry, statistics, logger);
+  lives.connect({ onChanged: () => undefined, onRestarted: (rebirth) => rebirths.push(rebirth) });
   lives.takeEntry(engineRecord('engine-0', options.bornMs));
   const versions = new WeightVersions(1_000, new StoreOutages());
   versions.note(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
@@ -70,7 +73,7 @@
       versions,
       loads: new LoadTable(),
       health,
-      kept: new KeptPrefixes(),
+      kept: new CachedPrefixes(),
       engines: engines as unknown as InferencePort,
       lease: lease as unknown as LeaseKeeper,
       requestRate: new SendRate(),
--- a/test/helpers/crash-news-world.ts
+++ b/test/helpers/crash-announcement-harness.ts
@@ -22,7 +22,7 @@
 }
 
 /** A group of routers with their crash guards. */
-export class CrashNewsWorld {
+export class CrashAnnouncementHarness {
   readonly clock = new VirtualClock();
   readonly peers: Peer[] = [];
   /** Datagrams that the routers sent. */
--- a/test/helpers/engine-list-world.ts
+++ b/test/helpers/engine-list-harness.ts
@@ -1,9 +1,12 @@
 /** A list of engines as one router follows it, with a log that tests can read. */
 import { EngineList } from '../../src/coordination/gateway/engine-list.js';
-import { EngineLives, type Rebirth } from '../../src/coordination/gateway/engine-lives.js';
+import {
+  EngineIncarnationTracker,
+  type EngineRestart,
+} from '../../src/coordination/gateway/engine-incarnation-tracker.js';
 import { GatewayStatistics } from '../../src/coordination/gateway/gateway-statistics.js';
 import type { ObjectDecoder } from '../../src/coordination/gateway/object-decoder.js';
-import { OddEntries } from '../../src/coordination/gateway/odd-entries.js';
+import { MalformedEntries } from '../../src/coordination/gateway/malformed-entries.js';
 import type { LogFields, Logger } from '../../src/runtime/logger.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
@@ -40,20 +43,20 @@
 }
 
 /** A list, its registry and what it found out. */
-export class EngineListWorld {
+export class EngineListHarness {
   readonly clock = new VirtualClock();
   readonly registry = new EngineRegistry();
   readonly statistics = new GatewayStatistics();
   readonly log = new RecordedLog();
-  readonly rebirths: Rebirth[] = [];
-  readonly lives = new EngineLives(this.registry, this.statistics, this.log);
-  readonly odd = new OddEntries(this.statistics, this.clock, this.log);
+  readonly rebirths: EngineRestart[] = [];
+  readonly lives = new EngineIncarnationTracker(this.registry, this.statistics, this.log);
+  readonly odd = new MalformedEntries(this.statistics, this.clock, this.log);
   readonly list: EngineList;
 
   constructor({ decoder, drainMs = 2_000, services }: EngineListOptions) {
     this.lives.connect({
       onChanged: () => undefined,
-      onReborn: (rebirth) => this.rebirths.push(rebirth),
+      onRestarted: (rebirth) => this.rebirths.push(rebirth),
     });
     this.list = new EngineList({
       registry: this.registry,
--- a/test/helpers/group-world.ts
+++ b/test/helpers/group-harness.ts
@@ -27,7 +27,7 @@
 }
 
 /** The group. */
-export class GroupWorld {
+export class GroupHarness {
   readonly clock = new VirtualClock();
   readonly network: SimulatedNetwork;
   readonly routers: GroupRouter[] = [];
@@ -41,8 +41,8 @@
     this.sockets = new SimulatedSockets(this.network);
   }
 
-  static async create(routers: number, seed: number): Promise<GroupWorld> {
-    const world = new GroupWorld(seed);
+  static async create(routers: number, seed: number): Promise<GroupHarness> {
+    const world = new GroupHarness(seed);
     for (let index = 0; index < routers; index += 1) {
       await world.start(index);
       await world.clock.advance(Math.floor(START_SPREAD_MS / routers));
--- a/test/helpers/placement-world.ts
+++ b/test/helpers/placement-harness.ts
@@ -9,7 +9,7 @@
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import type { GenerationShape } from '../../src/state/routing/generation.js';
 import { HomeRanking } from '../../src/state/routing/home-ranking.js';
-import { KeptPrefixes } from '../../src/state/routing/kept-prefixes.js';
+import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
 import { type PlacementTables, placeRequest } from '../../src/state/routing/placement.js';
 import { StorePressure } from '../../src/state/routing/save-choice.js';
@@ -68,7 +68,7 @@
 const SLOWNESS = [1, 1, 1.3];
 
 /** The deployment. */
-export class PlacementWorld {
+export class PlacementHarness {
   readonly clock = new VirtualClock();
   readonly figures = new Map<string, KindFigures>();
   readonly engines: BatchingEngine[] = [];
@@ -87,8 +87,8 @@
     for (let index = 0; index < scenario.routers; index += 1) this.addRouter(index, homes);
   }
 
-  static async create(scenario: PlacementScenario): Promise<PlacementWorld> {
-    return new PlacementWorld(scenario, new HomeRanking(await createHasher()));
+  static async create(scenario: PlacementScenario): Promise<PlacementHarness> {
+    return new PlacementHarness(scenario, new HomeRanking(await createHasher()));
   }
 
   /** Lets callers send for a while, and waits until their streams have ended. */
@@ -128,7 +128,7 @@
     const tables = {
       loads: new LoadTable(),
       health: new EngineHealth(),
-      kept: new KeptPrefixes(),
+      kept: new CachedPrefixes(),
       versions: new WeightVersions(7_000, new StoreOutages()),
       random: new SeededRandom(this.scenario.seed * 1_000 + index),
       homes,
--- a/test/helpers/quota-world.ts
+++ b/test/helpers/quota-harness.ts
@@ -2,7 +2,7 @@
 import { ConfigurationState } from '../../src/state/routing/configuration-state.js';
 import type { RoutingConfiguration, Tenant } from '../../src/state/routing/configuration.js';
 import { HomeRanking } from '../../src/state/routing/home-ranking.js';
-import { AccountantRanking } from '../../src/state/routing/quota/accountant-ranking.js';
+import { QuotaOwnerRanking } from '../../src/state/routing/quota/quota-owner-ranking.js';
 import {
   type QuotaTolerance,
   QuotaUnit,
@@ -18,7 +18,7 @@
 import { ElapsedInstant } from '../../src/runtime/elapsed-instant.js';
 import { SilentLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
-import { type GroupRouter, GroupWorld } from './group-world.js';
+import { type GroupRouter, GroupHarness } from './group-harness.js';
 
 /** The operators' bounds on one of the deployments with limits. */
 export const TOLERANCE: QuotaTolerance = { windowMs: 8_000, overageShare: 0.1, slack: 110_000 };
@@ -71,7 +71,7 @@
 }
 
 /** The deployment. */
-export class QuotaWorld {
+export class QuotaHarness {
   readonly charges: ObservedCharge[] = [];
   readonly statistics = new GatewayStatistics();
   datagrams = 0;
@@ -80,7 +80,7 @@
   private configurationVersion = 1;
 
   private constructor(
-    readonly group: GroupWorld,
+    readonly group: GroupHarness,
     readonly tenants: readonly TenantDemand[],
     private readonly random: SeededRandom,
     private readonly homes: HomeRanking,
@@ -90,10 +90,10 @@
     routers: number,
     seed: number,
     tenants: readonly TenantDemand[],
-  ): Promise<QuotaWorld> {
-    const group = await GroupWorld.create(routers, seed);
+  ): Promise<QuotaHarness> {
+    const group = await GroupHarness.create(routers, seed);
     const homes = new HomeRanking(await createHasher());
-    const world = new QuotaWorld(group, tenants, new SeededRandom(seed), homes);
+    const world = new QuotaHarness(group, tenants, new SeededRandom(seed), homes);
     world.attachAll();
     await group.clock.advance(SETTLED_MS);
     return world;
@@ -134,7 +134,7 @@
     const { routers } = this.group;
     const addresses = routers.map(({ group }) => group.own.gossipAddress);
     const heard = { silenceMs: () => 0, isMissing: () => false };
-    const ranking = new AccountantRanking(this.homes, heard);
+    const ranking = new QuotaOwnerRanking(this.homes, heard);
     return addresses.indexOf(ranking.of(tenant, addresses, this.now)[0] as string);
   }
 
--- a/test/helpers/relay-world.ts
+++ b/test/helpers/relay-harness.ts
@@ -6,8 +6,8 @@
   type RelaySettings,
   RelayedObjectStore,
 } from '../../src/coordination/gateway/store-relay/relayed-object-store.js';
-import { SimulatedObjectStore } from '../../src/lab/gateway-world/simulated-object-store.js';
-import { SimulatedStorePort } from '../../src/lab/gateway-world/simulated-store-port.js';
+import { SimulatedObjectStore } from '../../src/lab/gateway-simulation/simulated-object-store.js';
+import { SimulatedStorePort } from '../../src/lab/gateway-simulation/simulated-store-port.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { SimulatedNetwork } from '../../src/lab/simulation/simulated-network.js';
 import {
@@ -44,7 +44,7 @@
 }
 
 /** Routers before one store, each with both ends of the relay. `node-0` is the reader. */
-export class RelayWorld {
+export class RelayHarness {
   readonly clock = new VirtualClock();
   readonly network = new SimulatedNetwork(this.clock, new SeededRandom(5));
   readonly sockets = new SimulatedSockets(this.network);
@@ -56,8 +56,8 @@
 
   private constructor(private readonly settings: RelaySettings) {}
 
-  static async create(routers: number, settings = SETTINGS): Promise<RelayWorld> {
-    const world = new RelayWorld(settings);
+  static async create(routers: number, settings = SETTINGS): Promise<RelayHarness> {
+    const world = new RelayHarness(settings);
     const working = Array.from({ length: routers }, (_, index) => member(`node-${index}`));
     for (const [index, own] of working.entries()) await world.addRouter(index, own, working);
     return world;
--- a/test/platform/odd-entries.test.ts
+++ b/test/platform/malformed-entries.test.ts
@@ -7,7 +7,7 @@
 import { ObjectStoreClient } from '../../platform/object-store-client.js';
 import { ListFreshness } from '../../src/protocol/object-store/port.js';
 import { parseAddress } from '../../src/transport/address.js';
-import { EngineListWorld } from '../helpers/engine-list-world.js';
+import { EngineListHarness } from '../helpers/engine-list-harness.js';
 import { positionAt } from '../helpers/positions.js';
 
 const SEED = { seed: 4_343, numRuns: 500 };
@@ -53,7 +53,7 @@
 
 for (const [what, spec] of ODD_SPECS) {
   test(`an entry with ${what} takes its engine out until its next good entry, and no other`, (t) => {
-    const world = new EngineListWorld({ decoder: platformDecoder });
+    const world = new EngineListHarness({ decoder: platformDecoder });
     const other = {
       name: 'i-2',
       position: positionAt(2),
@@ -76,7 +76,7 @@
 }
 
 test('an entry without a start is odd where the engine has stated one', (t) => {
-  const world = new EngineListWorld({ decoder: platformDecoder });
+  const world = new EngineListHarness({ decoder: platformDecoder });
   world.list.takeAll([{ name: 'i-1', position: positionAt(1), spec: GOOD }]);
   for (const revision of [2, 3]) {
     world.list.take({
@@ -90,7 +90,7 @@
 });
 
 test('an entry of a service that is not configured is counted and serves no other service', (t) => {
-  const world = new EngineListWorld({ decoder: platformDecoder, services: ['llm'] });
+  const world = new EngineListHarness({ decoder: platformDecoder, services: ['llm'] });
   const spec = { ...GOOD, service: 'other' };
   world.list.takeAll([{ name: 'i-1', position: positionAt(1), spec }]);
   t.is(world.statistics.oddEntries, 1);
@@ -108,7 +108,7 @@
 });
 
 test('however many odd entries come, the log lines are bounded and all are counted', async (t) => {
-  const world = new EngineListWorld({ decoder: platformDecoder });
+  const world = new EngineListHarness({ decoder: platformDecoder });
   const LONG = 'x'.repeat(100_000);
   for (let index = 0; index < 3_000; index += 1) {
     const spec = { ...GOOD, [LONG]: 1, state: LONG };
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -7,7 +7,7 @@
 import {
   checkSettings,
   gatewaySettingsOf,
-  metricsDoorOf,
+  metricsAddressOf,
   readSettings,
 } from '../../platform/settings.js';
 
@@ -55,9 +55,9 @@
 });
 
 test('metrics are served where the settings name a port and a path', (t) => {
-  t.is(metricsDoorOf(checkSettings('f', SETTINGS)), undefined);
+  t.is(metricsAddressOf(checkSettings('f', SETTINGS)), undefined);
   const settings = checkSettings('f', { ...SETTINGS, metrics: '8790/figures' });
-  t.deepEqual(metricsDoorOf(settings), { address: '10.1.0.30:8790', path: '/figures' });
+  t.deepEqual(metricsAddressOf(settings), { address: '10.1.0.30:8790', path: '/figures' });
 });
 
 test('a router that has just started gives old weights up before it is judged by them', (t) => {
