--- a/src/coordination/gateway/collector-choice.ts
+++ b/src/coordination/gateway/collector-choice.ts
@@ -1,62 +1,62 @@
-/** Which router collects the work of a large group, as one router of it sees that. */
+/** Chooses the router that collects the loads of a large group, from one router's point of view. */
 import type { MemberUpdate } from '../../state/membership.js';
 import { PeerCooldowns } from '../../state/routing/peer-cooldowns.js';
 import { byCapability } from '../../state/routing/store-readers.js';
 
-/** The group, as far as the choice needs it. */
+/** The parts of the group that the choice uses. */
 export interface CollectorGroup {
   readonly own: MemberUpdate;
   readonly working: readonly MemberUpdate[];
-  /** Changes with every change of the view. */
+  /** Increases with each change of the membership view. */
   readonly version: number;
 }
 
-/** A collector that was passed over. */
+/** A collector that was put into cooldown. */
 export interface UnresponsiveCollector {
   readonly nodeId: string;
-  readonly silentMs: number;
+  readonly unresponsiveMs: number;
 }
 
-/** A collector that sent nothing for so many periods is passed over, for so long. */
-const SILENT_PERIODS = 5;
-const PASSED_OVER_MS = 3_000;
+/** A collector that sent no summary for this many periods is put into cooldown. */
+const UNRESPONSIVE_PERIODS = 5;
+const COOLDOWN_MS = 3_000;
 
-/** The most capable router collects; where it is silent, the next in order. */
+/** Chooses the router with the highest capability that is not in cooldown. */
 export class CollectorChoice {
   private order: readonly MemberUpdate[] = [];
   private orderVersion = -1;
-  private readonly passedOver = new PeerCooldowns(PASSED_OVER_MS);
-  private present: MemberUpdate | undefined;
-  /** When the present collector was last heard, or was chosen. */
-  private heardMs = 0;
+  private readonly cooldowns = new PeerCooldowns(COOLDOWN_MS);
+  private current: MemberUpdate | undefined;
+  /** Time of the current collector's last summary, or of its choice. */
+  private lastSummaryMs = 0;
 
   constructor(private readonly group: CollectorGroup) {}
 
-  /** The collector now; this router where all before it are passed over. */
+  /** The current collector; this router itself if all routers before it are in cooldown. */
   choose(now: number): MemberUpdate | undefined {
     const { nodeId: own } = this.group.own;
     const collector = this.ordered().find(
-      ({ nodeId }) => nodeId === own || !this.passedOver.has(nodeId, now),
+      ({ nodeId }) => nodeId === own || !this.cooldowns.has(nodeId, now),
     );
-    if (collector?.nodeId !== this.present?.nodeId) this.heardMs = now;
-    this.present = collector;
+    if (collector?.nodeId !== this.current?.nodeId) this.lastSummaryMs = now;
+    this.current = collector;
     return collector;
   }
 
-  /** A summary came. */
-  noteHeard(nodeId: string, now: number): void {
-    if (nodeId === this.present?.nodeId) this.heardMs = now;
-    this.passedOver.remove(nodeId);
+  /** Records a summary received from a collector. */
+  recordSummary(nodeId: string, now: number): void {
+    if (nodeId === this.current?.nodeId) this.lastSummaryMs = now;
+    this.cooldowns.remove(nodeId);
   }
 
-  /** Passes the present collector over where it has been silent; answers which one. */
-  passOverIfSilent(periodMs: number, now: number): UnresponsiveCollector | undefined {
-    const nodeId = this.present?.nodeId;
+  /** Puts an unresponsive current collector into cooldown and returns it. */
+  startCooldownIfUnresponsive(periodMs: number, now: number): UnresponsiveCollector | undefined {
+    const nodeId = this.current?.nodeId;
     if (nodeId === undefined || nodeId === this.group.own.nodeId) return undefined;
-    const silentMs = now - this.heardMs;
-    if (silentMs < SILENT_PERIODS * periodMs) return undefined;
-    this.passedOver.add(nodeId, now);
-    return { nodeId, silentMs };
+    const unresponsiveMs = now - this.lastSummaryMs;
+    if (unresponsiveMs < UNRESPONSIVE_PERIODS * periodMs) return undefined;
+    this.cooldowns.add(nodeId, now);
+    return { nodeId, unresponsiveMs };
   }
 
   private ordered(): readonly MemberUpdate[] {
--- a/src/coordination/gateway/directory-answer.ts
+++ b/src/coordination/gateway/directory-answer.ts
@@ -2,31 +2,32 @@
 import { type RandomSource, randomInteger } from '../../runtime/random.js';
 import type { MemberUpdate } from '../../state/membership.js';
 
-/** A caller's place. */
-export interface CallerPlace {
+/** Location of a caller. */
+export interface CallerLocation {
   readonly zone: string;
   readonly region: string;
 }
 
 const MAXIMUM_ADDRESSES = 64;
-/** A router is left out of some answers, but not of more than all but this share. */
-const LEAST_SHARE = 0.1;
-/** With fewer routers than this in its zone, a caller is given others as well. */
-const ENOUGH_NEAR = 2;
+/** Each router is part of at least this share of responses, however small its capacity. */
+const MINIMUM_SHARE = 0.1;
+/** With fewer routers than this in its zone, a caller also gets those of its region or of all. */
+const MINIMUM_ROUTERS = 2;
 
 /**
- * Addresses of working routers: those of the caller's zone if they are enough, else of its region. A
- * caller picks among them evenly, so routers of less capacity stand in fewer answers.
+ * Returns addresses of routers in the caller's zone; with too few there, in its region or anywhere.
+ * A caller distributes its requests evenly over them, so routers of lower capacity are part of
+ * fewer responses.
  */
 export function addressesFor(
-  place: CallerPlace,
+  location: CallerLocation,
   members: readonly MemberUpdate[],
   random: RandomSource,
 ): string[] {
-  const inZone = members.filter((member) => member.zone === place.zone);
-  const inRegion = members.filter((member) => member.region === place.region);
+  const inZone = members.filter((member) => member.zone === location.zone);
+  const inRegion = members.filter((member) => member.region === location.region);
   const choices = [inZone, inRegion, [...members]];
-  const chosen = choices.find((choice) => choice.length >= ENOUGH_NEAR) ?? [...members];
+  const chosen = choices.find((choice) => choice.length >= MINIMUM_ROUTERS) ?? [...members];
   const addresses = sampleByCapacity(chosen, random).map((member) => member.peerAddress);
   while (addresses.length > MAXIMUM_ADDRESSES) {
     addresses.splice(randomInteger(random, addresses.length), 1);
@@ -34,15 +35,15 @@
   return addresses;
 }
 
-/** Each member with the share of answers that its capacity is of the largest; enough in any case. */
+/** Samples each member with the ratio of its capacity to the largest; keeps a minimum number. */
 function sampleByCapacity(members: readonly MemberUpdate[], random: RandomSource): MemberUpdate[] {
   const largest = Math.max(...members.map((member) => member.capacity));
-  const drawn = members.map((member) => ({
+  const draws = members.map((member) => ({
     member,
-    // Below 0 for those that this answer names.
-    lot: random.next() - Math.max(LEAST_SHARE, largest === 0 ? 1 : member.capacity / largest),
+    // Negative for the members that are selected.
+    draw: random.next() - Math.max(MINIMUM_SHARE, largest === 0 ? 1 : member.capacity / largest),
   }));
-  drawn.sort((left, right) => left.lot - right.lot);
-  const named = drawn.filter(({ lot }, index) => lot < 0 || index < ENOUGH_NEAR);
-  return named.map(({ member }) => member);
+  draws.sort((left, right) => left.draw - right.draw);
+  const selected = draws.filter(({ draw }, index) => draw < 0 || index < MINIMUM_ROUTERS);
+  return selected.map(({ member }) => member);
 }
--- a/src/coordination/gateway/directory.ts
+++ b/src/coordination/gateway/directory.ts
@@ -1,23 +1,22 @@
 /**
- * Answers callers that ask which routers they may connect to. It names routers by its own evidence that
- * they run, never by the group's view alone: the view keeps a silent member until it is declared dead,
- * which takes the longer the larger the group and the more of it is gone.
+ * Returns to callers the routers that they may connect to. Only routers with a recent heartbeat are
+ * included: the membership view keeps an unresponsive member until it is declared dead, which takes
+ * long in large groups and after large failures.
  */
 import type { Logger } from '../../runtime/logger.js';
 import type { RandomSource } from '../../runtime/random.js';
 import type { MemberUpdate } from '../../state/membership.js';
-import { type CallerPlace, addressesFor } from './directory-answer.js';
+import { type CallerLocation, addressesFor } from './directory-answer.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
 
-/** The group, as far as the directory needs it. */
+/** The parts of the group that the directory uses. */
 export interface DirectoryGroup {
-  /** What this router says of itself. */
   readonly own: MemberUpdate;
-  /** Members that take work, this one included while it does. */
+  /** Members that accept work, including this router while it does. */
   readonly working: readonly MemberUpdate[];
-  /** Those of them that were heard lately. */
+  /** The working members with a recent heartbeat. */
   readonly responding: readonly MemberUpdate[];
-  /** Time since a member was last heard, in milliseconds; 0 for this router. */
+  /** Milliseconds since the last heartbeat of a member; 0 for this router. */
   silenceMs(nodeId: string): number;
 }
 
@@ -31,30 +30,30 @@
   ) {}
 
   /**
-   * Addresses that the caller may connect to.
+   * Returns the addresses to which the caller may connect.
    *
-   * @param isOwnReady whether this router itself takes callers
+   * @param isOwnReady whether this router itself accepts callers
    */
-  answer(place: CallerPlace, isOwnReady: boolean): string[] {
+  resolve(location: CallerLocation, isOwnReady: boolean): string[] {
     const { own, responding } = this.group;
     const candidates = responding.filter((member) => member.nodeId !== own.nodeId || isOwnReady);
-    const addresses = addressesFor(place, candidates, this.random);
-    this.note(place, candidates, addresses);
+    const addresses = addressesFor(location, candidates, this.random);
+    this.recordResponse(location, candidates, addresses);
     return addresses;
   }
 
-  private note(
-    place: CallerPlace,
+  private recordResponse(
+    location: CallerLocation,
     candidates: readonly MemberUpdate[],
     addresses: readonly string[],
   ): void {
     this.statistics.directoryAnswers += 1;
-    const isNamed = new Set(addresses);
-    const named = candidates.filter(({ peerAddress }) => isNamed.has(peerAddress));
-    const silences = named.map(({ nodeId }) => this.group.silenceMs(nodeId));
+    const selectedAddresses = new Set(addresses);
+    const returned = candidates.filter(({ peerAddress }) => selectedAddresses.has(peerAddress));
+    const silences = returned.map(({ nodeId }) => this.group.silenceMs(nodeId));
     this.logger.info('directory_answered', {
-      zone: place.zone,
-      named: named.length,
+      zone: location.zone,
+      named: returned.length,
       responding: candidates.length,
       working: this.group.working.length,
       longest_silence_ms: silences.length > 0 ? Math.round(Math.max(...silences)) : undefined,
--- a/src/coordination/gateway/followed-kinds.ts
+++ b/src/coordination/gateway/followed-kinds.ts
@@ -1,4 +1,4 @@
-/** The kinds of object that a router follows in the store, and who takes what they bring. */
+/** The object kinds that a router follows in the store, and the handlers of their objects. */
 import { ListFreshness } from '../../protocol/object-store/port.js';
 import type { EngineList } from './engine-list.js';
 import type { GatewaySettings } from './gateway-settings.js';
@@ -6,27 +6,27 @@
 import { type FollowHandlers, FirstWatch, type StoreFollowers } from './store-followers.js';
 import type { WeightVersionDiscovery } from './weight-version-discovery.js';
 
-/** Who takes the objects. */
-export interface KindListeners {
+/** Handlers of the followed kinds. */
+export interface KindHandlers {
   readonly configuration: FollowHandlers;
   readonly engineList: EngineList;
-  readonly oddEntries: MalformedEntries;
-  readonly versionNews: WeightVersionDiscovery;
+  readonly malformedEntries: MalformedEntries;
+  readonly versionDiscovery: WeightVersionDiscovery;
 }
 
 /**
- * Changes of engines' entries that come within this time are read with one call: a rollout changes an
- * entry for each load. Small against the bounds on engines that drain, 2 s and more.
+ * Engine changes within this time are read with one call, since a rollout changes an entry for each
+ * load. Much shorter than the limits on draining engines.
  */
-const ENGINE_GATHER_MS = 200;
+const ENGINE_BATCH_DELAY_MS = 200;
 
-/** Follows the configuration, the engines and the named weights from now on. */
+/** Starts to follow the configuration, the engines and the named weight versions. */
 export function followKinds(
   followers: StoreFollowers,
   { kinds, configurationWatchMs, engineWatchMs, versionWatchMs }: GatewaySettings,
-  { configuration, engineList, oddEntries, versionNews }: KindListeners,
+  { configuration, engineList, malformedEntries, versionDiscovery }: KindHandlers,
 ): void {
-  // Requests with a key wait for a proof, so a router that starts asks for a current list.
+  // Requests with an API key need a current configuration, so the first list must be current.
   followers.follow(
     {
       kind: kinds.configuration,
@@ -41,7 +41,7 @@
     {
       kind: kinds.engines,
       watchMs: engineWatchMs,
-      gatherMs: ENGINE_GATHER_MS,
+      gatherMs: ENGINE_BATCH_DELAY_MS,
       firstList: ListFreshness.MayBeOld,
     },
     FirstWatch.AfterJoining,
@@ -49,7 +49,7 @@
       onList: (objects) => engineList.takeAll(objects),
       onObject: (object) => engineList.take(object),
       onGone: (name, position) => engineList.takeGone(name, position),
-      onUnnamed: (items, position) => oddEntries.noteUnnamed(items, position),
+      onUnnamed: (items, position) => malformedEntries.noteUnnamed(items, position),
       onFailure: () => engineList.noteFailure(),
       onRestored: () => engineList.noteRestored(),
     },
@@ -63,10 +63,10 @@
     },
     FirstWatch.AfterJoining,
     {
-      onList: (objects) => versionNews.takeList(objects),
-      onObject: (object, _proven, isRelayed) => versionNews.takeChange(object, isRelayed),
-      onAnswer: (proven, isRelayed) => versionNews.noteAnswer(proven, isRelayed),
-      onFailure: () => versionNews.noteFailure(),
+      onList: (objects) => versionDiscovery.takeList(objects),
+      onObject: (object, _proven, isRelayed) => versionDiscovery.takeChange(object, isRelayed),
+      onAnswer: (proven, isRelayed) => versionDiscovery.noteAnswer(proven, isRelayed),
+      onFailure: () => versionDiscovery.noteFailure(),
     },
   );
 }
--- a/src/coordination/gateway/gateway-node.ts
+++ b/src/coordination/gateway/gateway-node.ts
@@ -1,4 +1,4 @@
-/** One router: follows the store, takes part in the group, serves requests, leaves in order. */
+/** One router: follows the store, joins the group, serves requests and shuts down gracefully. */
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
 import type { ElapsedInstant } from '../../runtime/elapsed-instant.js';
 import type { ClockJump } from '../../runtime/suspension-meter.js';
@@ -22,7 +22,7 @@
 import { TrafficSplit } from '../../state/routing/traffic-split.js';
 import { WeightVersions } from '../../state/routing/weight-versions.js';
 import { Directory } from './directory.js';
-import type { CallerPlace } from './directory-answer.js';
+import type { CallerLocation } from './directory-answer.js';
 import { createCoordinator } from './coordinator-setup.js';
 import { CrashProtection } from './crash-protection.js';
 import { followKinds } from './followed-kinds.js';
@@ -44,10 +44,10 @@
 import { WeightVersionDiscovery } from './weight-version-discovery.js';
 import type { WeightCoordinator } from './weight-coordinator.js';
 
-/** What a router takes from its surroundings. */
-export interface GatewaySurroundings {
+/** External dependencies of a router. */
+export interface GatewayDependencies {
   readonly clock: Clock;
-  /** Steady time at which the process started; left out: when the node is made. */
+  /** Monotonic time at which the process started; defaults to the construction of the node. */
   readonly startedMs?: number;
   readonly random: RandomSource;
   readonly hasher: Hasher;
@@ -59,9 +59,9 @@
   readonly decoder: ObjectDecoder;
 }
 
-const UPKEEP_PERIOD_MS = 1_000;
-/** What holders without a feed keep is believed for one to two of these. */
-const KEPT_TURN_MS = 6_000;
+const MAINTENANCE_PERIOD_MS = 1_000;
+/** Cached prefixes of engines without a feed expire after one to two of these periods. */
+const PREFIX_EXPIRY_PERIOD_MS = 6_000;
 
 /** A router of the gateway. */
 export class GatewayNode {
@@ -71,7 +71,7 @@
   private readonly registry: EngineRegistry;
   private readonly loads: LoadTable;
   private readonly health = new EngineHealth();
-  private readonly kept = new CachedPrefixes();
+  private readonly cachedPrefixes = new CachedPrefixes();
   private readonly outages = new StoreOutages();
   private readonly versions: WeightVersions;
   private readonly requestRate = new SendRate();
@@ -83,7 +83,7 @@
   private readonly crashes: CrashProtection;
   private readonly exchange: GroupExchange;
   private readonly coordinator: WeightCoordinator;
-  private readonly versionNews: WeightVersionDiscovery;
+  private readonly versionDiscovery: WeightVersionDiscovery;
   private readonly directory: Directory;
   private readonly timers: Timer[] = [];
   private isLeaving = false;
@@ -91,21 +91,21 @@
 
   private constructor(
     private readonly settings: GatewaySettings,
-    private readonly surroundings: GatewaySurroundings,
+    private readonly dependencies: GatewayDependencies,
     private readonly group: GroupMembership,
     private readonly relay: StoreRelay,
     eras: StoreEras,
-    parts: GroupEventTarget,
+    events: GroupEventTarget,
   ) {
-    const { clock, random, hasher, logger, engines } = surroundings;
-    this.loads = parts.loads;
+    const { clock, random, hasher, logger, engines } = dependencies;
+    this.loads = events.loads;
     this.trafficShare = new TrafficShare(group, settings.capacity);
     this.configuration = new ConfigurationState(settings.proofLifetimeMs);
     this.listed = new ListedEngines({
-      ...surroundings,
+      ...dependencies,
       configuration: this.configuration,
       health: this.health,
-      kept: this.kept,
+      kept: this.cachedPrefixes,
       group,
       statistics: this.statistics,
       drainMs: settings.drainMs,
@@ -114,12 +114,12 @@
     this.registry = this.listed.registry;
     this.listed.connect({
       onChanged: () => this.joinWhenReady(),
-      onReborn: (rebirth) => {
-        this.coordinator.forgetLife(rebirth.former.id);
-        this.crashes.noteReborn(rebirth);
+      onReborn: (restart) => {
+        this.coordinator.forgetLife(restart.former.id);
+        this.crashes.noteReborn(restart);
       },
-      breakFormerLife: (rebirth) => {
-        for (const call of this.calls) call.breakFormerLife(rebirth);
+      breakFormerLife: (restart) => {
+        for (const call of this.calls) call.breakFormerLife(restart);
       },
     });
     this.versions = new WeightVersions(
@@ -131,7 +131,7 @@
     this.crashes = new CrashProtection({
       policy: settings.quarantine,
       kind: settings.kinds.quarantine,
-      store: surroundings.store,
+      store: dependencies.store,
       engines,
       registry: this.registry,
       statistics: this.statistics,
@@ -141,7 +141,7 @@
       announce: () => group.reportNow(),
       endCalls: (fingerprint) => this.endQuarantined(fingerprint),
     });
-    const limitNews = new EngineLimitDiscovery({
+    const limitDiscovery = new EngineLimitDiscovery({
       limits: this.health.limits,
       statistics: this.statistics,
       clock,
@@ -171,8 +171,8 @@
       registry: this.registry,
       loads: this.loads,
       health: this.health,
-      limitNews,
-      kept: this.kept,
+      limitNews: limitDiscovery,
+      kept: this.cachedPrefixes,
       versions: this.versions,
       requestRate: this.requestRate,
       ownTokenRate: this.ownTokenRate,
@@ -200,7 +200,7 @@
       versions: this.versions,
       loads: this.loads,
       health: this.health,
-      kept: this.kept,
+      kept: this.cachedPrefixes,
       engines,
       store: relay.store,
       eras,
@@ -211,27 +211,27 @@
       random,
       logger,
     });
-    this.versionNews = new WeightVersionDiscovery(
+    this.versionDiscovery = new WeightVersionDiscovery(
       {
         versions: this.versions,
-        decoder: surroundings.decoder,
-        startedMs: surroundings.startedMs ?? clock.now(),
+        decoder: dependencies.decoder,
+        startedMs: dependencies.startedMs ?? clock.now(),
         clock,
         logger,
       },
       settings.unseenVersionAgeMs,
       () => group.reportNow(),
     );
-    parts.connect(this.coordinator, this.versionNews, this.crashes.guard, limitNews);
+    events.connect(this.coordinator, this.versionDiscovery, this.crashes.guard, limitDiscovery);
   }
 
-  /** Opens the group's socket; call {@link start} next. */
+  /** Opens the group's socket and the store relay; call {@link start} next. */
   static async open(
     settings: GatewaySettings,
-    surroundings: GatewaySurroundings,
+    dependencies: GatewayDependencies,
   ): Promise<GatewayNode> {
-    const parts = new GroupEventTarget();
-    const { clock, random, logger, datagrams } = surroundings;
+    const events = new GroupEventTarget();
+    const { clock, random, logger, datagrams } = dependencies;
     const { nodeId, zone, region, frontendAddress, gossipAddress, seeds, capacity } = settings;
     const identity = {
       nodeId,
@@ -244,42 +244,42 @@
     const group = await GroupMembership.open(
       { identity, seeds },
       datagrams,
-      parts.loads,
-      parts,
+      events.loads,
+      events,
       clock,
       random,
       logger,
     );
     const eras = new StoreEras(settings.isFirstStart);
-    const relay = await StoreRelay.open(settings.relay, group, eras, surroundings);
-    return new GatewayNode(settings, surroundings, group, relay, eras, parts);
+    const relay = await StoreRelay.open(settings.relay, group, eras, dependencies);
+    return new GatewayNode(settings, dependencies, group, relay, eras, events);
   }
 
   start(): void {
     followKinds(this.followers, this.settings, {
       configuration: {
         onList: (objects, proven) => {
-          const taken = objects.filter((object) => this.takeConfiguration(object, proven));
-          if (taken.length === 0) this.configuration.noteMissing();
+          const applied = objects.filter((object) => this.applyConfiguration(object, proven));
+          if (applied.length === 0) this.configuration.noteMissing();
         },
-        onObject: (object, proven) => void this.takeConfiguration(object, proven),
+        onObject: (object, proven) => void this.applyConfiguration(object, proven),
         onAnswer: (proven) => this.configuration.prove(proven),
       },
       engineList: this.listed.list,
-      oddEntries: this.listed.odd,
-      versionNews: this.versionNews,
+      malformedEntries: this.listed.odd,
+      versionDiscovery: this.versionDiscovery,
     });
-    const { clock } = this.surroundings;
+    const { clock } = this.dependencies;
     this.timers.push(
-      repeat(clock, UPKEEP_PERIOD_MS, () => this.upkeep()),
-      repeat(clock, KEPT_TURN_MS, () => this.kept.expire()),
+      repeat(clock, MAINTENANCE_PERIOD_MS, () => this.runMaintenance()),
+      repeat(clock, PREFIX_EXPIRY_PERIOD_MS, () => this.cachedPrefixes.expire()),
     );
     this.coordinator.start();
     this.exchange.start();
     this.crashes.start();
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether callers should connect to this router. */
   get isReady(): boolean {
     return !this.isLeaving && this.configuration.current !== undefined && this.listed.list.isKnown;
   }
@@ -292,10 +292,10 @@
     return this.configuration.current?.configuration.limits;
   }
 
-  /** Addresses a caller may connect to; empty while this router knows of none. */
-  resolve(place: CallerPlace): string[] {
+  /** Addresses to which a caller may connect; empty until a configuration is loaded. */
+  resolve(location: CallerLocation): string[] {
     if (this.configuration.current === undefined) return [];
-    return this.directory.answer(place, this.isReady);
+    return this.directory.resolve(location, this.isReady);
   }
 
   /** Serves one request. */
@@ -306,11 +306,12 @@
   }
 
   /**
-   * The machine was suspended, or its time of day was set. What was proved before may have run out, so a
-   * new proof is asked for at once: a watch that is waiting would bring one 1.5 s later.
+   * Handles a suspension of the machine or a change of its wall-clock time. The proof that the
+   * configuration is current may have expired, so it is renewed without waiting for the pending
+   * watch.
    */
   noteClockJump({ aheadMs }: ClockJump): void {
-    const { clock, logger } = this.surroundings;
+    const { clock, logger } = this.dependencies;
     this.statistics.clockJumps += 1;
     const now = clock.elapsed();
     logger.warn('clock_jumped', {
@@ -322,7 +323,7 @@
     if (aheadMs > 0) this.followers.renew(this.settings.kinds.configuration);
   }
 
-  /** Takes no new callers from now on; what runs goes on. */
+  /** Stops accepting new callers; running requests continue. */
   leave(): void {
     if (this.isLeaving) return;
     this.isLeaving = true;
@@ -330,7 +331,7 @@
     this.coordinator.leave();
   }
 
-  /** Ends all that still runs and closes. */
+  /** Ends all running requests and releases all resources. */
   stop(): void {
     for (const call of this.calls) call.endForStop();
     this.followers.stop();
@@ -343,9 +344,9 @@
     this.group.stop();
   }
 
-  /** Answers whether the object is a configuration, be it one that can't be read. */
-  private takeConfiguration(object: StoredObject, proven: ElapsedInstant): boolean {
-    const { decoder, logger } = this.surroundings;
+  /** @returns whether the object is a configuration, including a malformed one */
+  private applyConfiguration(object: StoredObject, proven: ElapsedInstant): boolean {
+    const { decoder, logger } = this.dependencies;
     const decoded = decoder.configuration(object);
     const configuration = valueOrLog(decoded, object, logger);
     if (!configuration) return decoded.kind === 'malformed';
@@ -364,17 +365,17 @@
   private joinWhenReady(): void {
     if (!this.isReady || this.group.hasJoined) return;
     this.group.start();
-    const { clock } = this.surroundings;
+    const { clock } = this.dependencies;
     this.timers.push(clock.setTimer(SETTLING_MS, () => this.listed.startFeeds()));
   }
 
-  /** What is under way of a request that entered quarantine may not reach one more engine. */
+  /** Ends running calls of a quarantined request, so that they reach no further engine. */
   private endQuarantined(fingerprint: string): void {
     for (const call of this.calls) call.endIfQuarantined(fingerprint);
   }
 
-  private upkeep(): void {
-    this.loads.expire(this.surroundings.clock.now());
+  private runMaintenance(): void {
+    this.loads.expire(this.dependencies.clock.now());
     this.crashes.expire();
     this.listed.updateFeeds();
   }
--- a/src/coordination/gateway/group-change-log.ts
+++ b/src/coordination/gateway/group-change-log.ts
@@ -1,24 +1,24 @@
-/** Logs how the view of the group changes: who is suspected, dead or leaving, and since when it is silent. */
+/** Logs changes of the membership view: members that became suspected, dead or leaving. */
 import type { Logger } from '../../runtime/logger.js';
 import { MemberStatus, type MemberUpdate, isWorking } from '../../state/membership.js';
 
-/** Members named in one line; of a larger loss only the size is logged. */
-const MAXIMUM_NAMED = 6;
+/** Members named per status in one log line; further ones are only counted. */
+const MAXIMUM_LISTED = 6;
 
-/** Compares each view with the one before it. */
+/** Compares each view with the previous one. */
 export class GroupChangeLog {
   private statuses = new Map<string, MemberStatus>();
 
   constructor(private readonly logger: Logger) {}
 
-  /** @param silenceMs time since a member was last heard, in milliseconds */
-  note(members: readonly MemberUpdate[], silenceMs: (nodeId: string) => number): void {
+  /** @param silenceMs milliseconds since the last heartbeat of a member */
+  logChanges(members: readonly MemberUpdate[], silenceMs: (nodeId: string) => number): void {
     const changed = members.filter(
       ({ nodeId, status }) => this.statuses.get(nodeId) !== status && status !== MemberStatus.Alive,
     );
     this.statuses = new Map(members.map(({ nodeId, status }) => [nodeId, status]));
     const named = (status: MemberStatus): string | undefined =>
-      nameSome(changed.filter((member) => member.status === status));
+      joinNames(changed.filter((member) => member.status === status));
     const silences = changed.map(({ nodeId }) => silenceMs(nodeId)).filter(Number.isFinite);
     this.logger.info('group_changed', {
       working: members.filter(isWorking).length,
@@ -31,9 +31,9 @@
   }
 }
 
-function nameSome(members: readonly MemberUpdate[]): string | undefined {
+function joinNames(members: readonly MemberUpdate[]): string | undefined {
   if (members.length === 0) return undefined;
-  const names = members.slice(0, MAXIMUM_NAMED).map(({ nodeId }) => nodeId);
+  const names = members.slice(0, MAXIMUM_LISTED).map(({ nodeId }) => nodeId);
   const rest = members.length - names.length;
   return rest > 0 ? `${names.join(',')},+${rest}` : names.join(',');
 }
--- a/src/coordination/gateway/group-event-target.ts
+++ b/src/coordination/gateway/group-event-target.ts
@@ -1,4 +1,4 @@
-/** Connects the group's socket, which is bound first, with those who hear of and tell its news. */
+/** Connects the group's socket, which is bound first, to the sources and handlers of reports. */
 import type { StorePosition } from '../../runtime/store-position.js';
 import type { CrashAnnouncements } from '../../state/routing/crash-announcement-queue.js';
 import { LoadTable } from '../../state/routing/load-table.js';
@@ -13,26 +13,26 @@
 } from './weight-version-discovery.js';
 import type { WeightCoordinator } from './weight-coordinator.js';
 
-const NO_CRASH_NEWS: CrashAnnouncements = { crashes: [], quarantine: [] };
+const NO_CRASH_ANNOUNCEMENTS: CrashAnnouncements = { crashes: [], quarantine: [] };
 
-/** What must exist before the group's socket is bound; whom it serves is connected after. */
+/** Forwards group events to components that are created after the group's socket is bound. */
 export class GroupEventTarget implements GroupEvents {
   readonly loads = new LoadTable();
   private coordinator: WeightCoordinator | undefined;
-  private versionNews: WeightVersionDiscovery | undefined;
+  private versionDiscovery: WeightVersionDiscovery | undefined;
   private crashGuard: CrashGuard | undefined;
-  private limits: EngineLimitDiscovery | undefined;
+  private limitDiscovery: EngineLimitDiscovery | undefined;
 
   connect(
     coordinator: WeightCoordinator,
-    versionNews: WeightVersionDiscovery,
+    versionDiscovery: WeightVersionDiscovery,
     crashGuard: CrashGuard,
-    limits: EngineLimitDiscovery,
+    limitDiscovery: EngineLimitDiscovery,
   ): void {
     this.coordinator = coordinator;
-    this.versionNews = versionNews;
+    this.versionDiscovery = versionDiscovery;
     this.crashGuard = crashGuard;
-    this.limits = limits;
+    this.limitDiscovery = limitDiscovery;
   }
 
   get hasCrashNews(): boolean {
@@ -40,27 +40,27 @@
   }
 
   takeCrashNews(): CrashAnnouncements {
-    return this.crashGuard?.takeNews() ?? NO_CRASH_NEWS;
+    return this.crashGuard?.takeNews() ?? NO_CRASH_ANNOUNCEMENTS;
   }
 
-  onCrashNews(news: CrashAnnouncements, isPassedOn: boolean): boolean {
-    return this.crashGuard?.receive(news, isPassedOn) ?? false;
+  onCrashNews(announcements: CrashAnnouncements, isRelayed: boolean): boolean {
+    return this.crashGuard?.receive(announcements, isRelayed) ?? false;
   }
 
-  limitNotices(): readonly EngineLimitAnnouncement[] {
-    return this.limits?.notices ?? [];
+  limitAnnouncements(): readonly EngineLimitAnnouncement[] {
+    return this.limitDiscovery?.notices ?? [];
   }
 
-  onLimitNotice(notice: EngineLimitAnnouncement): void {
-    this.limits?.receive(notice);
+  onLimitAnnouncement(announcement: EngineLimitAnnouncement): void {
+    this.limitDiscovery?.receive(announcement);
   }
 
   weightsNews(): readonly WeightLoadAnnouncement[] {
     return this.coordinator?.news ?? [];
   }
 
-  onWeightsNews(news: WeightLoadAnnouncement): void {
-    this.coordinator?.receiveNews(news);
+  onWeightsNews(announcement: WeightLoadAnnouncement): void {
+    this.coordinator?.receiveNews(announcement);
   }
 
   heldLease(): StorePosition | undefined {
@@ -71,11 +71,11 @@
     this.coordinator?.receiveLease(holder, position);
   }
 
-  versionNotices(): readonly WeightVersionAnnouncement[] {
-    return this.versionNews?.notices ?? [];
+  versionAnnouncements(): readonly WeightVersionAnnouncement[] {
+    return this.versionDiscovery?.notices ?? [];
   }
 
-  onVersionNotice(notice: WeightVersionAnnouncement): void {
-    this.versionNews?.receive(notice);
+  onVersionAnnouncement(announcement: WeightVersionAnnouncement): void {
+    this.versionDiscovery?.receive(announcement);
   }
 }
--- a/src/coordination/gateway/group-exchange.ts
+++ b/src/coordination/gateway/group-exchange.ts
@@ -1,10 +1,10 @@
-/** What routers tell each other beside membership and news: the work that they have, and what tenants use. */
+/** Exchange of loads and tenant quotas between the routers of a group. */
 import { LoadCollection, type CollectionParts } from './load-collection.js';
 import type { GroupMembership } from './group-membership.js';
 import { GroupQuotaView } from './quota/group-quota-view.js';
 import { type QuotaParts, TenantQuotas } from './quota/tenant-quotas.js';
 
-/** What the exchange works with. */
+/** Dependencies of {@link GroupExchange}. */
 export interface ExchangeParts
   extends Omit<CollectionParts, 'group'>, Omit<QuotaParts, 'group' | 'clock' | 'logger'> {
   readonly group: GroupMembership;
@@ -12,7 +12,7 @@
   shareOfTraffic(): number;
 }
 
-/** The exchange of one router; it takes the datagrams that are meant for it. */
+/** Runs load collection and tenant quotas, and dispatches their datagrams. */
 export class GroupExchange {
   readonly quotas: TenantQuotas;
   private readonly collection: LoadCollection;
--- a/src/coordination/gateway/group-heartbeats.ts
+++ b/src/coordination/gateway/group-heartbeats.ts
@@ -1,25 +1,22 @@
-/** What one router knows of when the members of its group were last heard, by itself and by others. */
+/** Heartbeats of a group's members, received directly or reported by other routers. */
 import type { Clock } from '../../runtime/clock.js';
 import { PauseDetector } from '../../runtime/pause-detector.js';
 import { type RandomSource, randomInteger } from '../../runtime/random.js';
 import { type HeartbeatAge, Heartbeats } from '../../state/heartbeats.js';
 import { memberKey } from '../../state/member-key.js';
 
-/** Heartbeats as a report carries them: keys of members, and the ages in the same order. */
-export interface SharedHeartbeats {
+/** Heartbeats as a report contains them: member keys, and their ages in the same order. */
+export interface ReportedHeartbeats {
   readonly heardMembers: number[];
   readonly heardAgesMs: number[];
 }
 
-/**
- * Ages in one report; some 100 bytes. A router of a group of 195 gets about 10 reports a second, so it
- * hears of nearly every other each second.
- */
-const SHARED_IN_REPORT = 16;
-/** Older heartbeats are of little use to others. */
-const OLDEST_SHARED_MS = 1_500;
+/** Heartbeats in one report. */
+const HEARTBEATS_PER_REPORT = 16;
+/** Older heartbeats are not shared. */
+const MAXIMUM_SHARED_AGE_MS = 1_500;
 
-/** Heartbeats of one router's group. */
+/** Heartbeats of the group as seen by one router. */
 export class GroupHeartbeats {
   private readonly heartbeats = new Heartbeats();
   private readonly pauses: PauseDetector;
@@ -33,19 +30,19 @@
     this.pauses = new PauseDetector(clock.now());
   }
 
-  /** Notes that this process runs; call several times a second. */
-  noteRunning(): void {
+  /** Records that this process is running; call several times a second. */
+  recordRunning(): void {
     this.pauses.note(this.clock.now());
   }
 
-  /** A datagram of the member was read. One that waited while this process stood still shows nothing. */
-  noteHeard(nodeId: string): void {
+  /** Records a datagram of a member; ignored after a pause, when it may have been queued. */
+  recordHeartbeat(nodeId: string): void {
     const nowMs = this.clock.now();
     if (this.pauses.isSettled(nowMs)) this.heartbeats.note(nodeId, nowMs);
   }
 
-  /** Takes what another router shares. */
-  take({ heardMembers, heardAgesMs }: SharedHeartbeats): void {
+  /** Applies the heartbeats that another router reported. */
+  merge({ heardMembers, heardAgesMs }: ReportedHeartbeats): void {
     const nowMs = this.clock.now();
     if (!this.pauses.isSettled(nowMs)) return;
     for (const [index, key] of heardMembers.entries()) {
@@ -55,14 +52,14 @@
     }
   }
 
-  /** A random few of those heard lately, to share. */
-  share(): SharedHeartbeats {
-    const recent = this.heartbeats.within(OLDEST_SHARED_MS, this.clock.now());
-    const count = Math.min(SHARED_IN_REPORT, recent.length);
+  /** Returns a random sample of the recent heartbeats. */
+  sample(): ReportedHeartbeats {
+    const recent = this.heartbeats.within(MAXIMUM_SHARED_AGE_MS, this.clock.now());
+    const count = Math.min(HEARTBEATS_PER_REPORT, recent.length);
     const heardMembers: number[] = [];
     const heardAgesMs: number[] = [];
     for (let index = 0; index < count; index += 1) {
-      // Those before the index are picked already.
+      // Partial Fisher-Yates shuffle: entries before the index are already picked.
       const picked = index + randomInteger(this.random, recent.length - index);
       const { nodeId, ageMs } = recent[picked] as HeartbeatAge;
       recent[picked] = recent[index] as HeartbeatAge;
@@ -72,12 +69,12 @@
     return { heardMembers, heardAgesMs };
   }
 
-  /** Milliseconds since a member was last heard by any router whose reports came; Infinity: never. */
+  /** Milliseconds since the last direct or reported heartbeat of a member; Infinity if none. */
   silenceMs(nodeId: string): number {
     return this.heartbeats.silenceMs(nodeId, this.clock.now());
   }
 
-  /** Takes the members known now; the others are forgotten. */
+  /** Sets the known members and forgets all others. */
   retain(nodeIds: readonly string[]): void {
     this.heartbeats.retain(new Set(nodeIds));
     const keysById = new Map(nodeIds.map((nodeId) => [nodeId, this.keyOf(nodeId)]));
--- a/src/coordination/gateway/group-membership.ts
+++ b/src/coordination/gateway/group-membership.ts
@@ -1,4 +1,4 @@
-/** The group of routers: who works, and what each has under way at the engines. */
+/** Membership of a group of routers, and their reports to each other over one datagram socket. */
 import { create } from '@bufbuild/protobuf';
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
 import type { Logger } from '../../runtime/logger.js';
@@ -40,53 +40,50 @@
   REPORT_PERIOD_MS,
 } from './group-reports.js';
 
-/** How this router takes part. */
+/** Identity and seed addresses with which this router joins the group. */
 export interface GroupSettings {
-  /** `peerAddress` is where callers reach the member. */
+  /** `peerAddress` is the address at which callers reach the member. */
   readonly identity: MemberIdentity;
-  /** Datagram addresses of a few members; some may be stale. */
+  /** Datagram addresses of some members; some may be stale. */
   readonly seeds: readonly string[];
 }
 
 const CHECK_PERIOD_MS = 100;
 /**
- * A member that was not heard for longer does not respond: three reports of an idle router have failed to
- * come. Whether it is declared dead is the membership's decision and takes longer, since a member that
- * was declared dead wrongly has to join again, while one that is only passed over loses nothing.
+ * A member without a heartbeat for longer is unresponsive and is not offered to callers: three
+ * reports of an idle router are missing. The membership protocol takes longer to declare it dead,
+ * because a member that is wrongly declared dead has to join again.
  */
 export const HEARTBEAT_TIMEOUT_MS = 2_500;
-/**
- * A router that joins has heard of most others after this long, and so knows its rank and how many share
- * the work: of 195 routers that started together, 170 were known after 0.8 s and 179 after a second.
- */
+/** Time after joining until a router has discovered most other members. */
 export const SETTLING_MS = 1_000;
-/** In a small group each hears all others directly, the idle ones each 0.75 s. */
-const LONGEST_SMALL_GROUP_SILENCE_MS = 1_250;
-const NEWS_FANOUT = 3;
-const NEWS_DELAY_MS = 50;
+/** Idle routers of a small group report to all others every 0.75 s. */
+const SMALL_GROUP_HEARTBEAT_TIMEOUT_MS = 1_250;
+const ANNOUNCEMENT_FANOUT = 3;
+const ANNOUNCEMENT_DELAY_MS = 50;
 
-/** Runs the membership state machine and the load reports over one datagram socket. */
+/** Runs the membership state machine, the reports and the heartbeats of one router. */
 export class GroupMembership implements GroupView {
   private readonly timers: Timer[] = [];
-  private seenView = -1;
+  private seenVersion = -1;
   private readonly heartbeats: GroupHeartbeats;
   private readonly changeLog: GroupChangeLog;
-  private isAnnouncing = false;
-  /** Statements as datagrams carry them; a statement never changes. */
+  private isAnnouncementPending = false;
+  /** Encoded member updates; an update is immutable. */
   private readonly encodedUpdates = new WeakMap<MemberUpdate, Uint8Array>();
   private readonly reports: GroupReports;
   private isStopped = false;
   private isStarted = false;
   private startedMs = 0;
-  /** Receives what routers of a large group tell of their work. */
+  /** Handles load reports and summaries of a large group. */
   onWorkDatagram: (body: WorkDatagram) => void = () => undefined;
-  /** Receives what the quotas of other routers send. */
+  /** Handles quota datagrams of other routers. */
   onQuotaDatagram: (body: QuotaDatagram) => void = () => undefined;
 
   private constructor(
     private readonly membership: Membership,
     private readonly socket: DatagramSocket,
-    /** Datagram addresses of a few members; some may be stale. */
+    /** Datagram addresses of some members; some may be stale. */
     readonly seeds: readonly string[],
     loads: LoadTable,
     events: GroupEvents,
@@ -135,60 +132,62 @@
     return group;
   }
 
-  /** Members known, even ones that fell silent: what must be shared is shared with them too. */
+  /** Number of known members, including unresponsive ones: shared limits are divided among all. */
   get size(): number {
     return Math.max(this.seeds.length, this.membership.knownCount);
   }
 
-  /** Whether this router takes part. */
+  /** Whether this router has joined the group. */
   get hasJoined(): boolean {
     return this.isStarted;
   }
 
-  /** Whether it has taken part so long that it has heard of most others. */
+  /** Whether this router joined long enough ago to have discovered most members. */
   get isSettled(): boolean {
     return this.isStarted && this.clock.now() - this.startedMs >= SETTLING_MS;
   }
 
-  /** Steady time, in milliseconds. */
+  /** Monotonic time in milliseconds. */
   get now(): number {
     return this.clock.now();
   }
 
-  /** Changes with every change of the view. */
+  /** Increases with each change of the membership view. */
   get version(): number {
     return this.membership.version;
   }
 
-  /** What this router says of itself. */
+  /** This router's own member update. */
   get own(): MemberUpdate {
     return this.membership.own;
   }
 
-  /** Members that take work, this one included while it does; the same list until one of them changes. */
+  /** Members that accept work, including this router; the same array until a member changes. */
   get working(): readonly MemberUpdate[] {
     return this.membership.working();
   }
 
-  /** Working members that were heard lately, by this router or by one that reported it, and itself. */
+  /** Working members with a recent direct or reported heartbeat, and this router. */
   get responding(): MemberUpdate[] {
     return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= HEARTBEAT_TIMEOUT_MS);
   }
 
-  /** Whether it is so large that routers do not all hear each other directly. */
+  /** Whether the group is so large that its routers do not all report to each other. */
   get isLarge(): boolean {
     return this.reports.isLarge;
   }
 
-  /** Working members that this router is in touch with now, as far as it can tell, and itself. */
+  /** Working members that this router can presumably reach, and itself. */
   get reachable(): MemberUpdate[] {
-    const longestMs = this.reports.isLarge ? HEARTBEAT_TIMEOUT_MS : LONGEST_SMALL_GROUP_SILENCE_MS;
-    return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= longestMs);
+    const timeoutMs = this.reports.isLarge
+      ? HEARTBEAT_TIMEOUT_MS
+      : SMALL_GROUP_HEARTBEAT_TIMEOUT_MS;
+    return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= timeoutMs);
   }
 
   /**
-   * Whether nothing speaks against a member: it is not suspected, and in a small group, where each hears
-   * all others several times a second, it was heard lately.
+   * Whether a member works, is not suspected and, in a small group, where all members report to
+   * each other, had a heartbeat within the timeout.
    */
   isAvailable(nodeId: string): boolean {
     const member = this.working.find((each) => each.nodeId === nodeId);
@@ -196,13 +195,13 @@
     return this.reports.isLarge || this.silenceMs(nodeId) <= HEARTBEAT_TIMEOUT_MS;
   }
 
-  /** Time since a member was last heard, in milliseconds; Infinity where it never was. */
+  /** Milliseconds since the last heartbeat of a member; Infinity if there was none. */
   silenceMs(nodeId: string): number {
     if (nodeId === this.own.nodeId) return 0;
     return this.heartbeats.silenceMs(nodeId);
   }
 
-  /** Joins; call once this router can serve. */
+  /** Joins the group; call once this router can serve requests. */
   start(): void {
     if (this.isStarted) return;
     this.isStarted = true;
@@ -213,18 +212,17 @@
       this.clock.setTimer(firstDelayMs, () => {
         this.timers.push(repeat(this.clock, PROBE_PERIOD_MS, () => this.tick()));
       }),
-      repeat(this.clock, CHECK_PERIOD_MS, () => this.check()),
+      repeat(this.clock, CHECK_PERIOD_MS, () => this.checkTimeouts()),
       repeat(this.clock, REPORT_PERIOD_MS, () => this.reports.reportLoads()),
       repeat(this.clock, CHANGE_PERIOD_MS, () => this.reports.reportChanges()),
     );
   }
 
-  /** Sends one datagram to another router. */
   send(address: string, datagram: Uint8Array): void {
     if (!this.isStopped) this.socket.send(address, datagram);
   }
 
-  /** Says that this router takes no new work. */
+  /** Announces that this router accepts no new work. */
   leave(): void {
     if (this.isStarted) this.transmit(this.membership.leave());
   }
@@ -236,23 +234,23 @@
     this.socket.close();
   }
 
-  /** Time in which what {@link reportNow} sends reaches nearly all routers, in milliseconds. */
+  /** Milliseconds until a report of {@link reportNow} has reached nearly all routers. */
   get announcementMs(): number {
     return this.reports.announcementMs;
   }
 
-  /** Sends what is new without waiting for the next report. */
+  /** Sends pending announcements without waiting for the next periodic report. */
   reportNow(): void {
     this.reports.reportNow();
   }
 
   private tick(): void {
     this.transmit(this.membership.tick(this.clock.now()));
-    this.noteView();
+    this.handleViewChange();
   }
 
-  private check(): void {
-    this.heartbeats.noteRunning();
+  private checkTimeouts(): void {
+    this.heartbeats.recordRunning();
     this.transmit(this.membership.checkDirectTimeout(this.clock.now()));
   }
 
@@ -270,13 +268,13 @@
     if (!kind) return;
     const { sender, sequence, subject } = gossip;
     const updates = gossip.updates.map(decodeMemberUpdate);
-    this.heartbeats.noteHeard(sender);
-    const answer = this.membership.receive(
+    this.heartbeats.recordHeartbeat(sender);
+    const response = this.membership.receive(
       { kind, sender, sequence, subject, updates },
       this.clock.now(),
     );
-    if (this.isStarted) this.transmit(answer);
-    this.noteView();
+    if (this.isStarted) this.transmit(response);
+    this.handleViewChange();
   }
 
   private transmit(outgoing: readonly OutgoingGossip[]): void {
@@ -289,12 +287,12 @@
         subject,
         kind: encodeGossipKind(message.kind),
       });
-      const updates = message.updates.map((update) => this.encoded(update));
+      const updates = message.updates.map((update) => this.encodedUpdate(update));
       this.socket.send(address, encodeClusterGossip(gossip, updates));
     }
   }
 
-  private encoded(update: MemberUpdate): Uint8Array {
+  private encodedUpdate(update: MemberUpdate): Uint8Array {
     let bytes = this.encodedUpdates.get(update);
     if (!bytes) {
       bytes = encodeUpdate(encodeMemberUpdate(update));
@@ -303,18 +301,18 @@
     return bytes;
   }
 
-  /** Logs a changed view and passes the news on soon; a herd of news makes one announcement. */
-  private noteView(): void {
-    if (this.membership.version === this.seenView) return;
-    this.seenView = this.membership.version;
+  /** Logs a changed view and gossips it after a short delay that batches further changes. */
+  private handleViewChange(): void {
+    if (this.membership.version === this.seenVersion) return;
+    this.seenVersion = this.membership.version;
     const members = this.membership.all();
-    this.changeLog.note(members, (nodeId) => this.silenceMs(nodeId));
+    this.changeLog.logChanges(members, (nodeId) => this.silenceMs(nodeId));
     this.heartbeats.retain(members.map(({ nodeId }) => nodeId));
-    if (this.isAnnouncing || !this.isStarted) return;
-    this.isAnnouncing = true;
-    this.clock.setTimer(NEWS_DELAY_MS, () => {
-      this.isAnnouncing = false;
-      this.transmit(this.membership.announce(NEWS_FANOUT));
+    if (this.isAnnouncementPending || !this.isStarted) return;
+    this.isAnnouncementPending = true;
+    this.clock.setTimer(ANNOUNCEMENT_DELAY_MS, () => {
+      this.isAnnouncementPending = false;
+      this.transmit(this.membership.announce(ANNOUNCEMENT_FANOUT));
     });
   }
 }
--- a/src/coordination/gateway/load-collection.ts
+++ b/src/coordination/gateway/load-collection.ts
@@ -1,6 +1,7 @@
 /**
- * How routers of a large group learn each other's work: each reports to one of them, the most capable, and
- * this one tells all the sums. Where it falls silent the next in order takes its place.
+ * Load exchange in a large group: every router reports its work to the collector, the router with
+ * the highest capability, which sends the sums to all. If the collector becomes unresponsive, the
+ * next router in the order replaces it.
  */
 import { create } from '@bufbuild/protobuf';
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
@@ -24,16 +25,16 @@
 import { CollectorChoice, type CollectorGroup } from './collector-choice.js';
 import { decodeWork, encodeWork } from './work-codec.js';
 
-/** The group, as far as the collection needs it. */
+/** The parts of the group that load collection uses. */
 export interface CollectionGroup extends CollectorGroup {
-  /** Whether this router takes part; before, it only listens. */
+  /** Whether this router has joined; before that it only receives. */
   readonly hasJoined: boolean;
-  /** Whether it is so large that the routers do not all report to each other. */
+  /** Whether the group is so large that its routers do not all report to each other. */
   readonly isLarge: boolean;
   send(address: string, datagram: Uint8Array): void;
 }
 
-/** What the collection works with. */
+/** Dependencies of {@link LoadCollection}. */
 export interface CollectionParts {
   readonly group: CollectionGroup;
   readonly loads: LoadTable;
@@ -42,43 +43,36 @@
   readonly logger: Logger;
 }
 
-/**
- * Time between two reports and between two summaries. With 79 simulated routers before 63 engines at a
- * third over their usual load, 0.96 of long and 0.92 of short streams were in time with 100 ms, 0.92 and
- * 0.85 with 200 ms, and 0.79 and 0.78 with reports of each router to four others each 250 ms.
- */
+/** Interval of reports and of summaries. */
 export const COLLECTION_PERIOD_MS = 100;
-/** A larger group is told less often, so that its collector sends no more than 1,000 datagrams a second. */
-const MEMBERS_AT_FULL_RATE = 100;
-/** Work that does not change is reported again before the collector forgets it. */
-const REPEAT_MS = 1_000;
-/**
- * Engines in one summary: 1.1 KB at 11 bytes each, which fits one packet. All 3,000 of a large deployment
- * would be 33 KB to each of 300 routers three times a second, more than small machines' links carry.
- */
-const MAXIMUM_ENGINES_TOLD = 100;
-/** A router that was reported to so lately collects, whatever it thinks of the order itself. */
+/** Group size above which summaries are sent less often, which bounds the collector's send rate. */
+const FULL_RATE_GROUP_SIZE = 100;
+/** Unchanged work is reported again before the collector's entry expires. */
+const REPORT_REFRESH_MS = 1_000;
+/** Engines in one summary, so that it fits into one packet. */
+const MAXIMUM_SUMMARY_ENGINES = 100;
+/** A router acts as collector for this long after a report, whichever collector it would choose. */
 const COLLECTING_MS = 1_000;
-/** A summary is forgotten after so many periods: the next one should have come. */
-const SUMMARY_PERIODS = 6;
+/** A summary expires after this many periods. */
+const SUMMARY_LIFETIME_PERIODS = 6;
 const SUMMARY_SOURCE = 'summary:';
-/** While nothing is under way only each third summary is sent, which shows that the collector lives. */
-const IDLE_SUMMARIES_SKIPPED = 3;
+/** Without running work one summary in this many is skipped; the others act as heartbeats. */
+const IDLE_SUMMARY_SKIP_PERIOD = 3;
 const NO_LOADS: LoadReport = new Map();
 
-/** The collection of one router. */
+/** Load collection of one router, which both reports and, as collector, sums up reports. */
 export class LoadCollection {
   private readonly collected = new CollectedLoads();
-  private readonly sent = new SentReports();
+  private readonly sentReports = new SentReports();
   private readonly choice: CollectorChoice;
   private timer: Timer | undefined;
   private engineIds = new Map<number, string>();
   private engineVersion = -1;
-  /** The collector that was reported to last. */
-  private reportedTo: string | undefined;
+  /** Node ID of the collector that received the last report. */
+  private lastCollectorId: string | undefined;
   private sequence = 0;
   private reportedVersion = -1;
-  private reportedMs = -Infinity;
+  private lastReportMs = -Infinity;
   private skippedTicks = 0;
   private idleSummaries = 0;
 
@@ -94,16 +88,15 @@
     this.timer?.cancel();
   }
 
-  /** Takes what another router sent. */
   receive(body: WorkDatagram): void {
-    if (body.case === 'workReport') this.takeReport(body.value);
-    else this.takeSummary(body.value);
+    if (body.case === 'workReport') this.applyReport(body.value);
+    else this.applySummary(body.value);
   }
 
-  /** Periods between two reports, 1 in a group of usual size. */
+  /** Number of collection periods between reports or summaries; above 1 in very large groups. */
   private get stride(): number {
     const { length } = this.parts.group.working;
-    return Math.max(1, Math.round(length / MEMBERS_AT_FULL_RATE));
+    return Math.max(1, Math.round(length / FULL_RATE_GROUP_SIZE));
   }
 
   private get periodMs(): number {
@@ -117,40 +110,40 @@
     if (this.skippedTicks < this.stride) return;
     this.skippedTicks = 0;
     const now = this.parts.clock.now();
-    this.passOverIfSilent(now);
+    this.checkCollector(now);
     const collector = this.choice.choose(now);
     const isOwn = collector?.nodeId === group.own.nodeId;
-    // Its own work is in the sums of the router that it reports to.
+    // A router that reports to another collector leaves its own work out of its summaries.
     if (isOwn) this.sendSummary(this.parts.loads.ownLoads, now);
     else if (this.collected.silenceMs(now) < COLLECTING_MS) this.sendSummary(NO_LOADS, now);
     if (collector && !isOwn) this.sendReport(collector, now);
   }
 
-  private passOverIfSilent(now: number): void {
-    const silent = this.choice.passOverIfSilent(this.periodMs, now);
-    if (!silent) return;
+  private checkCollector(now: number): void {
+    const unresponsive = this.choice.startCooldownIfUnresponsive(this.periodMs, now);
+    if (!unresponsive) return;
     this.parts.logger.warn('load_collector_silent', {
-      collector: silent.nodeId,
-      silent_ms: Math.round(silent.silentMs),
+      collector: unresponsive.nodeId,
+      silent_ms: Math.round(unresponsive.unresponsiveMs),
     });
   }
 
   private sendReport(collector: MemberUpdate, now: number): void {
     const { loads, group } = this.parts;
-    const isNewCollector = collector.nodeId !== this.reportedTo;
+    const isNewCollector = collector.nodeId !== this.lastCollectorId;
     const isChanged = isNewCollector || loads.ownVersion !== this.reportedVersion;
-    const isDue = loads.ownLoads.size > 0 && now - this.reportedMs >= REPEAT_MS;
+    const isDue = loads.ownLoads.size > 0 && now - this.lastReportMs >= REPORT_REFRESH_MS;
     if (!isChanged && !isDue) return;
-    this.reportedTo = collector.nodeId;
+    this.lastCollectorId = collector.nodeId;
     this.reportedVersion = loads.ownVersion;
-    this.reportedMs = now;
+    this.lastReportMs = now;
     this.sequence += 1;
     const report = create(WorkReportSchema, {
       sender: group.own.nodeId,
       sequence: this.sequence,
       engines: encodeWork(loads.ownLoads),
     });
-    this.sent.note(collector.nodeId, loads.ownLoads, now);
+    this.sentReports.note(collector.nodeId, loads.ownLoads, now);
     group.send(collector.gossipAddress, encodeWorkReport(report));
   }
 
@@ -158,9 +151,9 @@
     const { group } = this.parts;
     const sums = this.collected.sums(ownLoads, now);
     this.idleSummaries = sums.size === 0 ? this.idleSummaries + 1 : 0;
-    if (this.idleSummaries % IDLE_SUMMARIES_SKIPPED > 1) return;
+    if (this.idleSummaries % IDLE_SUMMARY_SKIP_PERIOD > 1) return;
     this.sequence += 1;
-    const entries = busiest(sums, MAXIMUM_ENGINES_TOLD);
+    const entries = busiest(sums, MAXIMUM_SUMMARY_ENGINES);
     const summary = create(WorkSummarySchema, {
       sender: group.own.nodeId,
       sequence: this.sequence,
@@ -175,19 +168,19 @@
     }
   }
 
-  private takeReport({ sender, sequence, engines }: WorkReport): void {
+  private applyReport({ sender, sequence, engines }: WorkReport): void {
     const reported = decodeWork(engines);
     const now = this.parts.clock.now();
     this.collected.take(sender, sequence, reported, now);
     this.parts.loads.receive(sender, sequence, reported, now);
   }
 
-  private takeSummary(summary: WorkSummary): void {
+  private applySummary(summary: WorkSummary): void {
     const now = this.parts.clock.now();
     const { sender, sequence } = summary;
-    this.choice.noteHeard(sender, now);
-    const others = this.sent.othersOf(sender, this.decode(summary), now);
-    const lifetimeMs = SUMMARY_PERIODS * this.periodMs;
+    this.choice.recordSummary(sender, now);
+    const others = this.sentReports.othersOf(sender, this.decode(summary), now);
+    const lifetimeMs = SUMMARY_LIFETIME_PERIODS * this.periodMs;
     this.parts.loads.receive(SUMMARY_SOURCE + sender, sequence, others, now, lifetimeMs);
   }
 
--- a/src/coordination/gateway/object-follower.ts
+++ b/src/coordination/gateway/object-follower.ts
@@ -1,6 +1,7 @@
 /**
- * Follows all objects of one kind in the store: a list, then watches from its position. A watch that
- * was cut goes on from where it stood; lost history is read again as a list.
+ * Follows all objects of one kind in the store: a list, then watches from its position. After a
+ * failed watch the next one resumes from the same position; if the store no longer has the history
+ * after it, the kind is listed again.
  */
 import { type Clock, sleep } from '../../runtime/clock.js';
 import type { ElapsedInstant } from '../../runtime/elapsed-instant.js';
@@ -20,55 +21,55 @@
   toProtocolError,
 } from '../../protocol/errors.js';
 
-/** Receives what the store tells. `proven`: a moment at which that was the newest there was. */
+/** Receives the objects of the store. `proven` is a time at which the state was current. */
 export interface FollowerEvents {
-  /** The whole kind as it is. */
+  /** All objects of the kind. */
   onList(objects: readonly StoredObject[], proven: ElapsedInstant): void;
   onObject(object: StoredObject, proven: ElapsedInstant, isRelayed: boolean): void;
-  /** @param position of the object's last change before it went */
+  /** @param position the position of the object's last change before its removal */
   onGone(name: string, position: StorePosition): void;
-  /** Items of an answer had no key that can be read; the answer's other items hold. */
+  /** A response contained items without a readable key; its other items are valid. */
   onUnnamed(items: number, position: StorePosition): void;
-  /** A call was answered, whether or not it brought a change, by the store or by a router in its place. */
+  /** A call succeeded, with or without changes, at the store or at another router. */
   onAnswer(proven: ElapsedInstant, isRelayed: boolean): void;
-  /** A call was not answered. */
+  /** A call failed. */
   onFailure(): void;
-  /** The store has forgotten its history: other watches may be waiting in vain. */
+  /** The store has lost its history, so other pending watches may never return changes. */
   onHistoryGone(): void;
-  /** The store is back from an older copy of itself, which the list that follows shows. */
+  /** The store was restored from an older copy; the next list contains the restored state. */
   onRestored(era: number): void;
 }
 
-/** How one kind is followed. */
+/** Settings for following one kind. */
 export interface FollowerSettings {
   readonly kind: string;
-  /** A watch waits this long at most; the answer of an idle one proves that nothing changed. */
+  /** Longest wait of a watch; a response without changes proves that nothing changed. */
   readonly watchMs: number;
-  /** Pause after an answer that brought changes, so that one call brings the next few of them. */
+  /** Pause after a response with changes, so that one call returns the next ones together. */
   readonly gatherMs: number;
   /**
-   * Resolves when the first watch may follow the first list: a router that joins hears of its group
-   * first, and then follows through a router that reads the store.
+   * Resolves when the first watch may start after the first list. A router that joins discovers its
+   * group first, so that it can follow the store through a reader.
    */
   settled(): Promise<void>;
-  /** How current the first list must be; what it lacks comes with the first watch. */
+  /** How current the first list must be; the first watch returns missing changes. */
   readonly firstList: ListFreshness;
 }
 
-/** Statuses by which a store says that it did nothing and that the caller should come again. */
+/** Statuses of a store that has not processed the request and expects a retry. */
 const RetryLaterStatus = { TooManyRequests: 429, ServiceUnavailable: 503 } as const;
-/** First pause after a call that failed; it doubles with each further failure. */
-const FIRST_PAUSE_MS = 60;
-/** Longest such pause: a store that is back is found within a second. */
-const LONGEST_PAUSE_MS = 500;
+/** Initial pause after a failed call; doubles with each further failure. */
+const INITIAL_RETRY_DELAY_MS = 60;
+/** Upper bound of the pause. */
+const MAXIMUM_RETRY_DELAY_MS = 500;
 
-/** Follows one kind until stopped. */
+/** Follows one kind until it is stopped. */
 export class ObjectFollower {
-  /** Where the next watch begins; undefined where the kind must be listed first. */
+  /** Start of the next watch; undefined if the kind must be listed first. */
   private position: StorePosition | undefined;
-  /** The newest state that was taken; an older one is never taken. */
+  /** Position of the newest state received; older states are never applied. */
   private newestPosition = StorePosition.start;
-  private hasListed = false;
+  private hasRequestedList = false;
   private failures = 0;
   private isStopped = false;
   private isRefreshing = false;
@@ -95,8 +96,8 @@
   }
 
   /**
-   * Reads the whole kind beside a watch that may be waiting in vain. What that watch answers in the end
-   * is dropped: the next one goes on from the list.
+   * Lists the kind while a watch is pending that may never return changes. The result of that watch
+   * is discarded; the next watch starts from the list.
    */
   async refresh(): Promise<void> {
     if (this.position === undefined || this.isRefreshing) return;
@@ -111,7 +112,7 @@
     }
   }
 
-  /** Reads the whole kind where it is known only as of an era before this one. */
+  /** Lists the kind if the newest state received is of an earlier era. */
   async refreshIfBefore(era: number): Promise<void> {
     if (this.newestPosition.era < era) await this.refresh();
   }
@@ -120,67 +121,71 @@
     while (!this.isStopped) {
       try {
         await this.step();
-        this.noteAnswer();
+        this.recordSuccess();
       } catch (cause) {
-        await this.noteFailure(cause);
+        await this.handleFailure(cause);
       }
     }
   }
 
-  /** One call, and the pause that follows it. */
+  /** Makes one call and pauses after it. */
   private async step(): Promise<void> {
-    const { position: asked } = this;
-    if (asked === undefined) return this.listFirst();
+    const { position: requestedPosition } = this;
+    if (requestedPosition === undefined) return this.listFirst();
     const { kind, watchMs, gatherMs } = this.settings;
-    const callBegan = this.clock.elapsed();
-    const result = await this.store.watch(kind, asked, watchMs);
-    if (this.isStopped || this.position !== asked) return;
+    const callStart = this.clock.elapsed();
+    const result = await this.store.watch(kind, requestedPosition, watchMs);
+    if (this.isStopped || this.position !== requestedPosition) return;
     if (result.kind === 'history-gone') {
-      this.logger.warn('store_history_gone', { kind, era: asked.era, revision: asked.revision });
+      this.logger.warn('store_history_gone', {
+        kind,
+        era: requestedPosition.era,
+        revision: requestedPosition.revision,
+      });
       this.position = undefined;
       this.events.onHistoryGone();
       return;
     }
-    const { proven = callBegan, isRelayed = false } = result;
+    const { proven = callStart, isRelayed = false } = result;
     for (const { object, isGone } of result.events) {
       if (isGone) this.events.onGone(object.name, object.position);
       else this.events.onObject(object, proven, isRelayed);
     }
-    this.noteUnnamed(result);
-    this.moveTo(asked.latest(result.position));
+    this.reportUnnamedItems(result);
+    this.advanceTo(requestedPosition.latest(result.position));
     this.events.onAnswer(proven, isRelayed);
     if (result.events.length > 0 && gatherMs > 0) await sleep(this.clock, gatherMs);
   }
 
-  /** Lists where no revision is known. */
+  /** Lists the kind while no position is known. */
   private async listFirst(): Promise<void> {
     const { firstList } = this.settings;
-    const isFirst = !this.hasListed;
-    // A list that may be old is worth one try; where it fails, the next one is a current one.
-    this.hasListed = true;
+    const isFirst = !this.hasRequestedList;
+    // A possibly outdated list is requested only once; after a failure a current one is requested.
+    this.hasRequestedList = true;
     await this.list(isFirst ? firstList : ListFreshness.Current);
     if (isFirst) await this.settings.settled();
   }
 
-  /** Rejects where the list is older than what was taken before: overtaken, or of a router that lags. */
+  /** Rejects if the list is older than the newest state received. */
   private async list(freshness: ListFreshness): Promise<void> {
-    const callBegan = this.clock.elapsed();
+    const callStart = this.clock.elapsed();
     const list = await this.store.list(this.settings.kind, freshness);
     if (this.isStopped) return;
     const { newestPosition: knownPosition } = this;
     if (list.position.isBefore(knownPosition)) {
       throw new ProtocolFailure({ kind: 'outdated', position: list.position, knownPosition });
     }
-    this.moveTo(list.position);
-    if (knownPosition.era < list.position.era) this.noteEra(knownPosition, list.position);
-    const proven = list.proven ?? callBegan;
-    this.noteUnnamed(list);
+    this.advanceTo(list.position);
+    if (knownPosition.era < list.position.era) this.reportEraChange(knownPosition, list.position);
+    const proven = list.proven ?? callStart;
+    this.reportUnnamedItems(list);
     this.events.onList(list.objects, proven);
     this.events.onAnswer(proven, list.isRelayed ?? false);
   }
 
-  /** A store that was restored shows older states than were seen: these are its present ones all the same. */
-  private noteEra(before: StorePosition, now: StorePosition): void {
+  /** Logs a new era; a restored store's state is current even if it is older than the one seen. */
+  private reportEraChange(before: StorePosition, now: StorePosition): void {
     this.logger.info('store_era', {
       kind: this.settings.kind,
       era: now.era,
@@ -191,23 +196,23 @@
     if (before.era !== StoreEra.Unknown) this.events.onRestored(now.era);
   }
 
-  private noteUnnamed({ unnamedItems, position }: UnnamedItems): void {
+  private reportUnnamedItems({ unnamedItems, position }: UnnamedItems): void {
     if (unnamedItems) this.events.onUnnamed(unnamedItems, position);
   }
 
-  private moveTo(position: StorePosition): void {
+  private advanceTo(position: StorePosition): void {
     this.position = position;
     this.newestPosition = this.newestPosition.latest(position);
   }
 
-  private noteAnswer(): void {
+  private recordSuccess(): void {
     if (this.failures > 0) {
       this.logger.info('store_regained', { kind: this.settings.kind, failures: this.failures });
     }
     this.failures = 0;
   }
 
-  private async noteFailure(cause: unknown): Promise<void> {
+  private async handleFailure(cause: unknown): Promise<void> {
     if (this.isStopped) return;
     this.failures += 1;
     this.events.onFailure();
@@ -216,14 +221,17 @@
       const reason = describeProtocolError(error);
       this.logger.warn('store_lost', { kind: this.settings.kind, reason });
     }
-    if (isPositionInDoubt(error)) this.position = undefined;
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (this.failures - 1));
-    await sleep(this.clock, pauseMs * (0.5 + this.random.next()));
+    if (isPositionUncertain(error)) this.position = undefined;
+    const retryDelayMs = Math.min(
+      MAXIMUM_RETRY_DELAY_MS,
+      INITIAL_RETRY_DELAY_MS * 2 ** (this.failures - 1),
+    );
+    await sleep(this.clock, retryDelayMs * (0.5 + this.random.next()));
   }
 }
 
-/** A store that is down or busy keeps its history; one whose answer can't be read may have lost it. */
-function isPositionInDoubt(error: ProtocolError): boolean {
+/** An unavailable store keeps its history; a malformed response may mean that it was lost. */
+function isPositionUncertain(error: ProtocolError): boolean {
   if (error.kind === 'malformed') return true;
   const { TooManyRequests, ServiceUnavailable } = RetryLaterStatus;
   const isRefused = error.kind === 'rejected';
--- a/src/coordination/gateway/store-followers.ts
+++ b/src/coordination/gateway/store-followers.ts
@@ -1,4 +1,4 @@
-/** The kinds of object that one router follows in the store, and what it learns from all of them. */
+/** Followers of all object kinds that one router reads from the store. */
 import { type Clock, sleep } from '../../runtime/clock.js';
 import type { ElapsedInstant } from '../../runtime/elapsed-instant.js';
 import type { Logger } from '../../runtime/logger.js';
@@ -8,53 +8,53 @@
 import type { StoreOutages } from '../../state/routing/store-outages.js';
 import { type FollowerSettings, ObjectFollower } from './object-follower.js';
 
-/** Receives what the store says of one kind. */
+/** Handles the objects and the state of the connection for one kind. */
 export interface FollowHandlers {
-  /** The whole kind as it is; left out: each object is handed on by itself. */
+  /** Handles a list; if omitted, `onObject` is called for each object. */
   onList?(objects: readonly StoredObject[], proven: ElapsedInstant): void;
   onObject(object: StoredObject, proven: ElapsedInstant, isRelayed: boolean): void;
   onGone?(name: string, position: StorePosition): void;
-  /** Items of an answer had no key that can be read. */
+  /** A response contained items without a readable key. */
   onUnnamed?(items: number, position: StorePosition): void;
-  /** A call was answered: at `proven` nothing newer was there. */
+  /** A call succeeded; the state was current at `proven`. */
   onAnswer?(proven: ElapsedInstant, isRelayed: boolean): void;
   onFailure?(): void;
-  /** The store is back from an older copy of itself, which the list that follows shows. */
+  /** The store was restored from an older copy; the next list contains the restored state. */
   onRestored?(): void;
 }
 
-/** The group, as far as this needs it. */
+/** The parts of the group that the followers use. */
 export interface SettlingGroup {
-  /** Whether this router takes part: it does as soon as it knows a configuration and the engines. */
+  /** Whether this router has joined, which requires a configuration and the engine list. */
   readonly hasJoined: boolean;
-  /** Changes with every change of the group. */
+  /** Increases with each change of the membership view. */
   readonly version: number;
 }
 
-/** How the first watch of a kind waits for the group. */
+/** When the first watch of a kind starts. */
 export enum FirstWatch {
-  /** It begins at once where this router has not joined: it may bring what joining needs. */
+  /** Waits for a stable group only if this router has joined, since joining may need the watch. */
   IfJoined = 'if-joined',
-  /** It waits until this router has joined and knows its group. */
+  /** Waits until this router has joined and its view of the group is stable. */
   AfterJoining = 'after-joining',
 }
 
-/** Lists of all kinds are answered within this time of each other; then a router joins or lacks something. */
-const JOINING_MS = 100;
+/** Time for the first lists of all kinds to arrive, after which a router usually joins. */
+const FIRST_LISTS_MS = 100;
 /**
- * A router that has joined begins to watch when its view of the group has stood still for this long: only
- * then does it know the router to follow through.
+ * After joining, a router starts to watch when its view of the group has not changed for this long,
+ * so that it chooses the right reader.
  */
-const GROUP_CALM_MS = 300;
-/** It waits at least this long: routers of a deployment start within 0.3 s and then join. */
-const SHORTEST_SETTLING_MS = 800;
-/** It waits no longer than this after joining; 170 of 195 that start together are known after 0.8 s. */
-const LONGEST_SETTLING_MS = 1_200;
-/** Without a configuration no router joins; the first one may come this long after the start. */
-const LONGEST_JOINING_MS = 3_000;
+const GROUP_STABLE_MS = 300;
+/** Minimum wait after joining; covers routers of the same deployment that start slightly later. */
+const MINIMUM_SETTLING_MS = 800;
+/** Maximum wait after joining. */
+const MAXIMUM_SETTLING_MS = 1_200;
+/** Maximum wait for joining, which requires a configuration. */
+const MAXIMUM_JOINING_MS = 3_000;
 const SETTLING_CHECK_MS = 100;
 
-/** Follows kinds until stopped. */
+/** Follows several kinds until it is stopped. */
 export class StoreFollowers {
   private readonly followers: ObjectFollower[] = [];
 
@@ -67,7 +67,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Follows one more kind. */
+  /** Starts to follow a kind. */
   follow(
     settings: Omit<FollowerSettings, 'settled'>,
     firstWatch: FirstWatch,
@@ -107,7 +107,7 @@
     follower.start();
   }
 
-  /** Reads a kind at once, for a proof that is newer than any in hand. */
+  /** Lists a kind immediately to get a new proof that its state is current. */
   renew(kind: string): void {
     for (const follower of this.followers) if (follower.kind === kind) void follower.refresh();
   }
@@ -118,22 +118,22 @@
 
   private async waitForGroup(firstWatch: FirstWatch): Promise<void> {
     const { clock, group } = this;
-    await sleep(clock, JOINING_MS);
+    await sleep(clock, FIRST_LISTS_MS);
     if (firstWatch === FirstWatch.IfJoined && !group.hasJoined) return;
-    const latestMs = clock.now() + LONGEST_JOINING_MS;
+    const latestMs = clock.now() + MAXIMUM_JOINING_MS;
     while (!group.hasJoined && clock.now() < latestMs) await sleep(clock, SETTLING_CHECK_MS);
-    if (group.hasJoined) await this.waitUntilCalm();
+    if (group.hasJoined) await this.waitUntilStable();
   }
 
-  private async waitUntilCalm(): Promise<void> {
+  private async waitUntilStable(): Promise<void> {
     const { clock, group } = this;
     const beganMs = clock.now();
     let seenVersion = group.version;
     let changedMs = beganMs;
     const isSettled = (): boolean => {
       const waitedMs = clock.now() - beganMs;
-      const isCalm = clock.now() - changedMs >= GROUP_CALM_MS;
-      return waitedMs >= LONGEST_SETTLING_MS || (isCalm && waitedMs >= SHORTEST_SETTLING_MS);
+      const isStable = clock.now() - changedMs >= GROUP_STABLE_MS;
+      return waitedMs >= MAXIMUM_SETTLING_MS || (isStable && waitedMs >= MINIMUM_SETTLING_MS);
     };
     while (!isSettled()) {
       await sleep(clock, SETTLING_CHECK_MS);
@@ -142,8 +142,8 @@
     }
   }
 
-  /** What one watch found out holds for the others too; they would find it only when they end. */
-  private refreshOthers(finder: ObjectFollower): void {
-    for (const follower of this.followers) if (follower !== finder) void follower.refresh();
+  /** Lists the other kinds too: their watches would notice the lost history only when they end. */
+  private refreshOthers(source: ObjectFollower): void {
+    for (const follower of this.followers) if (follower !== source) void follower.refresh();
   }
 }
--- a/src/coordination/gateway/store-relay/answer-changes.ts
+++ b/src/coordination/gateway/store-relay/answer-changes.ts
@@ -1,4 +1,4 @@
-/** Encodes what a router answers to those that follow the store through it; most of them ask for the same. */
+/** Encodes relay responses and caches deflated ones, since most followers request the same. */
 import type { StorePosition } from '../../../runtime/store-position.js';
 import type { ObjectEvent } from '../../../protocol/object-store/port.js';
 import {
@@ -8,41 +8,41 @@
   deflateChanges,
 } from '../../../protocol/peer/encoded-changes.js';
 
-/** Which changes of a kind an answer carries. */
-export interface ChangeSpan {
+/** Range of changes of one kind that a response contains. */
+export interface ChangeRange {
   readonly kind: string;
-  /** Position of the asker; undefined: all objects. */
+  /** Position of the requesting router; undefined for all objects. */
   readonly from: StorePosition | undefined;
   readonly to: StorePosition;
 }
 
-/** Deflated answers kept; followers ask within moments of each other, so a few are enough. */
-const MAXIMUM_KEPT = 8;
+/** Cached deflated responses; followers send the same query almost at the same time. */
+const MAXIMUM_CACHED = 8;
 
-/** The answers of one router. */
-export class AnswerChanges {
+/** Encoder and cache of one router's relay responses. */
+export class ResponseEncoder {
   private readonly encoder = new ChangeEncoder();
   private readonly deflated = new Map<string, EncodedChanges>();
 
-  /** @param acceptsDeflated whether the asker's build can inflate */
+  /** @param acceptsDeflated whether the requesting router supports deflated changes */
   encode(
-    span: ChangeSpan,
+    range: ChangeRange,
     events: readonly ObjectEvent[],
     acceptsDeflated: boolean,
   ): EncodedChanges {
     if (events.length === 0) return NO_CHANGES;
     if (!acceptsDeflated) return { kind: 'plain', changes: this.encoder.encode(events) };
-    const key = `${span.kind} ${String(span.from)} ${String(span.to)}`;
-    const kept = this.deflated.get(key);
-    if (kept) return kept;
+    const key = `${range.kind} ${String(range.from)} ${String(range.to)}`;
+    const cached = this.deflated.get(key);
+    if (cached) return cached;
     const changes = deflateChanges(this.encoder.encode(events));
-    this.keep(key, changes);
+    this.addToCache(key, changes);
     return changes;
   }
 
-  private keep(key: string, changes: EncodedChanges): void {
+  private addToCache(key: string, changes: EncodedChanges): void {
     this.deflated.set(key, changes);
     const [oldest] = this.deflated.keys();
-    if (this.deflated.size > MAXIMUM_KEPT && oldest !== undefined) this.deflated.delete(oldest);
+    if (this.deflated.size > MAXIMUM_CACHED && oldest !== undefined) this.deflated.delete(oldest);
   }
 }
--- a/src/coordination/gateway/store-relay/object-mirror.ts
+++ b/src/coordination/gateway/store-relay/object-mirror.ts
@@ -1,36 +1,37 @@
 /**
- * What one router knows of one kind of object in the store: the objects, the changes that led there,
- * and when that was proved current. Other routers are answered from it. Pure.
+ * One router's copy of all objects of one kind in the store, with the recent changes and the time
+ * at which the copy was proven current. Queries of other routers are answered from it. Performs no
+ * I/O.
  */
 import { ElapsedInstant } from '../../../runtime/elapsed-instant.js';
 import { StoreEra, StorePosition } from '../../../runtime/store-position.js';
 import type { ObjectEvent, StoredObject } from '../../../protocol/object-store/port.js';
 
-/** Changes that one answer of the store brought. */
+/** Changes of one response of the store. */
 interface ChangeBatch {
-  /** Of the store after these changes. */
+  /** Position of the store after these changes. */
   readonly position: StorePosition;
   readonly events: readonly ObjectEvent[];
 }
 
-/** Batches kept for routers that are a little behind. */
+/** Batches kept for routers that are slightly behind. */
 const MAXIMUM_BATCHES = 128;
 
 /** The mirror of one kind. */
 export class ObjectMirror {
   private readonly objects = new Map<string, StoredObject>();
   private batches: ChangeBatch[] = [];
-  /** Changes after this position are all kept. */
+  /** All changes after this position are kept. */
   private oldestPosition = StorePosition.start;
   private latestPosition = StorePosition.start;
   private provenAt = ElapsedInstant.never;
 
-  /** Whether the kind has been read once. */
+  /** Whether the kind has been listed. */
   get isFilled(): boolean {
     return this.latestPosition !== StorePosition.start;
   }
 
-  /** Whether an answer of the store has shown at some moment that this was current. */
+  /** Whether a response of the store has ever proven this copy current. */
   get isProven(): boolean {
     return this.provenAt !== ElapsedInstant.never;
   }
@@ -44,16 +45,16 @@
     return [...this.objects.values()];
   }
 
-  /** Milliseconds since the call began that proved the present position to be the newest. */
+  /** Milliseconds since the start of the call that proved the current position to be the newest. */
   proofAgeMs(now: ElapsedInstant): number {
     return now.since(this.provenAt);
   }
 
   /**
-   * Takes the whole kind; what came before is not known any more. A list that was overtaken by changes is
-   * dropped: taking it would lose these for good, since the next changes follow on them.
+   * Replaces all objects and discards the change history. A list older than the current position is
+   * ignored, because the changes after it would be lost permanently.
    */
-  takeList(
+  applyList(
     objects: readonly StoredObject[],
     position: StorePosition,
     proven: ElapsedInstant,
@@ -64,14 +65,14 @@
     this.batches = [];
     this.oldestPosition = position;
     this.latestPosition = position;
-    this.prove(proven);
+    this.recordProof(proven);
   }
 
   /**
-   * Takes the changes up to a position; an answer that was overtaken by a newer one is dropped, and one of another
-   * era does not follow on what is known.
+   * Applies the changes up to a position. Changes up to an older position or of another store era
+   * are ignored.
    */
-  takeChanges(
+  applyChanges(
     events: readonly ObjectEvent[],
     position: StorePosition,
     proven: ElapsedInstant,
@@ -83,22 +84,22 @@
       if (isGone) this.objects.delete(object.name);
       else this.objects.set(object.name, object);
     }
-    if (events.length > 0) this.keepBatch({ position, events });
+    if (events.length > 0) this.appendBatch({ position, events });
     this.latestPosition = position;
-    this.prove(proven);
+    this.recordProof(proven);
   }
 
   /**
-   * The changes after a position, in order; undefined where they are not all kept, or where the position is of another
-   * era. The removal of an object carries the position of its last change, so a removal may be repeated; not that of
-   * an object that is back, which the asker may know already.
+   * Returns the changes after a position in order, or undefined if they are not all kept or the
+   * position is of another era. A removal has the position of the object's last change, so it may
+   * be returned repeatedly. The removal of an object that was created again is left out.
    */
-  changesAfter(asked: StorePosition): ObjectEvent[] | undefined {
+  changesAfter(requested: StorePosition): ObjectEvent[] | undefined {
     if (!this.isFilled) return undefined;
     const { era } = this.latestPosition;
-    // A router whose build knows no eras is answered as if the store had never gone back, as it takes it itself.
+    // A router whose version does not support eras assumes that the store is never restored.
     const position =
-      asked.era === StoreEra.Unknown ? new StorePosition(era, asked.revision) : asked;
+      requested.era === StoreEra.Unknown ? new StorePosition(era, requested.revision) : requested;
     if (position.era !== era || position.isBefore(this.oldestPosition)) return undefined;
     const later = this.batches.filter((batch) => position.isBefore(batch.position));
     const events = later.flatMap((batch) => batch.events);
@@ -107,14 +108,14 @@
     );
   }
 
-  private keepBatch(batch: ChangeBatch): void {
+  private appendBatch(batch: ChangeBatch): void {
     this.batches.push(batch);
     if (this.batches.length <= MAXIMUM_BATCHES) return;
     const dropped = this.batches.shift();
     if (dropped) this.oldestPosition = dropped.position;
   }
 
-  private prove(proven: ElapsedInstant): void {
+  private recordProof(proven: ElapsedInstant): void {
     this.provenAt = this.provenAt.latest(proven);
   }
 }
--- a/src/coordination/gateway/store-relay/object-mirrors.ts
+++ b/src/coordination/gateway/store-relay/object-mirrors.ts
@@ -1,7 +1,7 @@
-/** The mirrors of all kinds of object that this router follows. */
+/** The mirrors of all object kinds that a router follows. */
 import { ObjectMirror } from './object-mirror.js';
 
-/** Mirrors by kind, made when first used. */
+/** Mirrors by kind, created on first use. */
 export class ObjectMirrors {
   private readonly mirrors = new Map<string, ObjectMirror>();
 
--- a/src/coordination/gateway/store-relay/peer-queries.ts
+++ b/src/coordination/gateway/store-relay/peer-queries.ts
@@ -1,4 +1,4 @@
-/** Questions to other routers about the store, and what their answers prove. */
+/** Queries other routers about the store and evaluates the proofs in their responses. */
 import type { Clock } from '../../../runtime/clock.js';
 import { ElapsedInstant } from '../../../runtime/elapsed-instant.js';
 import { StoreEra, type StorePosition } from '../../../runtime/store-position.js';
@@ -8,22 +8,22 @@
 import type { MemberUpdate } from '../../../state/membership.js';
 import type { RelayClient } from './relay-client.js';
 
-/** Results that always carry the moment at which they were current. */
+/** Results that always include the time at which they were current. */
 export type ProvenList = ObjectList & { readonly proven: ElapsedInstant };
 export type ProvenResult = Exclude<WatchResult, { kind: 'events' }> | ProvenChanges;
 type ProvenChanges = Extract<WatchResult, { kind: 'events' }> & { readonly proven: ElapsedInstant };
 
-/** What another router answered, and how old its proof was when it answered. */
-export interface PeerAnswer {
+/** Response of another router. */
+export interface PeerResponse {
   readonly result: ProvenResult;
+  /** Age of the proof when the other router responded. */
   readonly proofAgeMs: number;
-  /** Whether the proof is young enough for that router to be followed. */
+  /** Whether the proof is recent enough to follow the store through that router. */
   readonly isRecent: boolean;
 }
 
-/** Asks other routers. */
 export class PeerQueries {
-  /** @param freshMs a proof older than this is not recent */
+  /** @param freshMs maximum age of a recent proof, in milliseconds */
   constructor(
     private readonly client: RelayClient,
     private readonly freshMs: number,
@@ -31,68 +31,70 @@
   ) {}
 
   /**
-   * Asks for the changes of a kind after a position. Rejects with a `ProtocolFailure` where no answer
-   * comes, where the other router knows less than this one, or where its build sends no era: it may not have
-   * noticed that the store was restored.
+   * Requests the changes of a kind after a position. Rejects with a `ProtocolFailure` if the other
+   * router does not respond, is behind `position`, or sends no era and so may have missed that the
+   * store was restored.
    */
   async changes(
     peer: MemberUpdate,
     kind: string,
     position: StorePosition,
     waitMs: number,
-  ): Promise<PeerAnswer> {
-    const asked = this.clock.elapsed();
-    const answer = await this.client.query(peer.gossipAddress, kind, position, waitMs);
-    if (answer.position.era === StoreEra.Unknown) throw storeIsOut(`${peer.nodeId} sends no era`);
-    if (answer.position.isBefore(position)) throw storeIsOut(`${peer.nodeId} is behind`);
-    const { proofAgeMs, events } = answer;
+  ): Promise<PeerResponse> {
+    const queriedAt = this.clock.elapsed();
+    const response = await this.client.query(peer.gossipAddress, kind, position, waitMs);
+    if (response.position.era === StoreEra.Unknown)
+      throw storeUnavailable(`${peer.nodeId} sends no store era`);
+    if (response.position.isBefore(position))
+      throw storeUnavailable(`${peer.nodeId} is behind this router`);
+    const { proofAgeMs, events } = response;
     const isRecent = proofAgeMs <= this.freshMs;
-    if (!answer.isKnown) return { result: { kind: 'history-gone' }, proofAgeMs, isRecent };
-    // No delay on the way makes a proof seem younger: its age counts from when the question left.
-    const proven = asked.plus(answer.heldMs - proofAgeMs);
-    const { position: newest } = answer;
+    if (!response.isKnown) return { result: { kind: 'history-gone' }, proofAgeMs, isRecent };
+    // Counted from when the query was sent, so that network delay never makes a proof seem newer.
+    const proven = queriedAt.plus(response.heldMs - proofAgeMs);
+    const { position: newest } = response;
     const result = { kind: 'events' as const, events, position: newest, proven, isRelayed: true };
     return { result, proofAgeMs, isRecent };
   }
 
   /**
-   * A whole kind from one router; undefined where its proof is not recent or its build sends no era. Rejects
-   * without an answer.
+   * Lists a kind from one router; undefined if its proof is not recent or it sends no era. Rejects
+   * if the router does not respond.
    */
   async recentList(peer: MemberUpdate, kind: string): Promise<ProvenList | undefined> {
-    const asked = this.clock.elapsed();
-    const answer = await this.client.query(peer.gossipAddress, kind, undefined, 0);
-    if (!answer.isKnown || answer.proofAgeMs > this.freshMs) return undefined;
-    if (answer.position.era === StoreEra.Unknown) return undefined;
-    return listOf(answer, asked);
+    const queriedAt = this.clock.elapsed();
+    const response = await this.client.query(peer.gossipAddress, kind, undefined, 0);
+    if (!response.isKnown || response.proofAgeMs > this.freshMs) return undefined;
+    if (response.position.era === StoreEra.Unknown) return undefined;
+    return toProvenList(response, queriedAt);
   }
 
-  /** The newest list of several routers, however old; undefined where none of them knows the kind. */
+  /** The newest list of several routers, however old; undefined if none has listed the kind. */
   async newestList(addresses: readonly string[], kind: string): Promise<ProvenList | undefined> {
-    const asked = this.clock.elapsed();
-    // A router that does not answer is one of several; the others decide.
-    const answering = addresses.map((address) =>
+    const queriedAt = this.clock.elapsed();
+    // Routers that do not respond are ignored.
+    const pending = addresses.map((address) =>
       this.client.query(address, kind, undefined, 0).catch(() => undefined),
     );
-    const answers = (await Promise.all(answering)).filter((answer) => answer?.isKnown);
-    const newest = answers.reduce(
+    const responses = (await Promise.all(pending)).filter((response) => response?.isKnown);
+    const newest = responses.reduce(
       (best, each) => (best && each?.position.isBefore(best.position) ? best : each),
       undefined,
     );
-    return newest && listOf(newest, asked);
+    return newest && toProvenList(newest, queriedAt);
   }
 }
 
-/** The failure of a call that no router could answer in the store's place. */
-export function storeIsOut(reason: string): ProtocolFailure {
+/** The error of a call that neither the store nor another router could answer. */
+export function storeUnavailable(reason: string): ProtocolFailure {
   return new ProtocolFailure({ kind: 'interrupted', address: 'store', reason });
 }
 
-function listOf(answer: RelayAnswer, asked: ElapsedInstant): ProvenList {
-  const objects = answer.events.map((event) => event.object);
-  const { position, proofAgeMs } = answer;
-  // A build without eras does not notice whether the store has been restored since.
+function toProvenList(response: RelayAnswer, queriedAt: ElapsedInstant): ProvenList {
+  const objects = response.events.map((event) => event.object);
+  const { position, proofAgeMs } = response;
+  // A router version without eras does not notice that the store was restored.
   const isProof = position.era !== StoreEra.Unknown;
-  const proven = isProof ? asked.plus(-proofAgeMs) : ElapsedInstant.never;
+  const proven = isProof ? queriedAt.plus(-proofAgeMs) : ElapsedInstant.never;
   return { objects, position, proven, isRelayed: true };
 }
--- a/src/coordination/gateway/store-relay/reader-choice.ts
+++ b/src/coordination/gateway/store-relay/reader-choice.ts
@@ -1,6 +1,6 @@
 /**
- * Which router one router follows the store through, by what its questions have met: readers that do not
- * answer, or whose own way to the store is lost, are left alone for a while.
+ * Chooses the reader, the router through which this router follows the store. Readers that are
+ * unresponsive or have lost their own connection to the store are skipped during a cooldown.
  */
 import type { Clock } from '../../../runtime/clock.js';
 import type { MemberUpdate } from '../../../state/membership.js';
@@ -11,23 +11,21 @@
   readerFor,
 } from '../../../state/routing/store-readers.js';
 
-/** The group, as far as the relay needs it. */
+/** The parts of the group that the relay uses. */
 export interface RelayGroup {
-  /** Working routers, this one included; the same list until one of them changes. */
+  /** Working routers, including this one; the same array until a member changes. */
   readonly working: readonly MemberUpdate[];
-  /** Relay addresses to ask before any member is known. */
+  /** Relay addresses to query before any member is known. */
   readonly seeds: readonly string[];
 }
 
-/** A reader that did not answer, or without a recent proof, is left alone for this long. */
-export const AVOID_MS = 3_000;
+/** Cooldown of a reader that did not respond or has no recent proof. */
+export const READER_COOLDOWN_MS = 3_000;
 
-/** The choice of one router. */
 export class ReaderChoice {
-  /** Readers that did not answer. */
-  private readonly silent = new PeerCooldowns(AVOID_MS);
-  /** Readers that answered without a recent proof: their way to the store is lost. */
-  private readonly outdated = new PeerCooldowns(AVOID_MS);
+  private readonly unresponsive = new PeerCooldowns(READER_COOLDOWN_MS);
+  /** Readers that responded without a recent proof: they can't reach the store. */
+  private readonly outdated = new PeerCooldowns(READER_COOLDOWN_MS);
 
   private chosenAmong: readonly MemberUpdate[] | undefined;
   private chosenReaders: readonly MemberUpdate[] = [];
@@ -43,33 +41,32 @@
     return this.group.working.length > this.policy.directGroupSize;
   }
 
-  /** The reader to follow through; undefined where there is none to be asked now. */
+  /** The reader to query; undefined if this router has none or all are in cooldown. */
   get reader(): MemberUpdate | undefined {
-    const isAvoided = (nodeId: string): boolean =>
-      this.silent.has(nodeId, this.clock.now()) || this.isOutdated(nodeId);
+    const isInCooldown = (nodeId: string): boolean =>
+      this.unresponsive.has(nodeId, this.clock.now()) || this.isOutdated(nodeId);
     const { working } = this.group;
-    return readerFor(this.own, working, this.policy, isAvoided, this.chosen);
+    return readerFor(this.own, working, this.policy, isInCooldown, this.chosen);
   }
 
-  /** Readers that this router may ask; none in a small group or where it is a reader itself. */
+  /** Readers that this router may query; none in a small group or if it is a reader itself. */
   get readers(): readonly MemberUpdate[] {
     if (!this.isLargeGroup) return [];
     const readers = this.chosen;
     return readers.some(({ nodeId }) => nodeId === this.own.nodeId) ? [] : readers;
   }
 
-  /** Whether a reader was found to have lost the store; asked where none is left to follow through. */
-  get isStoreOut(): boolean {
+  /** Whether a reader is outdated; only meaningful while {@link reader} is undefined. */
+  get isStoreUnavailable(): boolean {
     return this.readers.some(({ nodeId }) => this.isOutdated(nodeId));
   }
 
-  /** All other working routers. */
   get others(): readonly MemberUpdate[] {
     return this.group.working.filter(({ nodeId }) => nodeId !== this.own.nodeId);
   }
 
-  noteSilent({ nodeId }: MemberUpdate): void {
-    this.silent.add(nodeId, this.clock.now());
+  noteUnresponsive({ nodeId }: MemberUpdate): void {
+    this.unresponsive.add(nodeId, this.clock.now());
   }
 
   noteOutdated({ nodeId }: MemberUpdate): void {
@@ -80,7 +77,7 @@
     this.outdated.remove(nodeId);
   }
 
-  /** All readers, chosen anew only when the members have changed: that sorts them. */
+  /** All readers; chosen again only after the members have changed, since that sorts them. */
   private get chosen(): readonly MemberUpdate[] {
     const { working } = this.group;
     if (working !== this.chosenAmong) {
--- a/src/coordination/gateway/store-relay/relay-client.ts
+++ b/src/coordination/gateway/store-relay/relay-client.ts
@@ -1,4 +1,4 @@
-/** Asks other routers for what they know of the store, over one kept connection to each. */
+/** Client of the store relay: queries other routers over one persistent connection to each. */
 import type { Clock, Timer } from '../../../runtime/clock.js';
 import type { StorePosition } from '../../../runtime/store-position.js';
 import type { FrameConnection, FrameTransport } from '../../../transport/frame-transport.js';
@@ -9,18 +9,17 @@
   encodeRelayQuery,
 } from '../../../protocol/peer/relay-codec.js';
 
-/** Beyond the time a query may be held, its answer should come within this. */
-const ANSWER_SLACK_MS = 300;
-/** A connection without queries for this long is closed. */
+/** Response timeout beyond the time for which a query may be held. */
+const RESPONSE_TIMEOUT_MS = 300;
 const IDLE_LIFETIME_MS = 15_000;
 
 interface PendingQuery {
-  readonly resolve: (answer: RelayAnswer) => void;
+  readonly resolve: (response: RelayAnswer) => void;
   readonly reject: (failure: ProtocolFailure) => void;
   readonly timer: Timer;
 }
 
-/** The asking end of the relay. */
+/** Keeps the connections to other routers and closes idle ones. */
 export class RelayClient {
   private readonly links = new Map<string, RelayLink>();
   private isStopped = false;
@@ -31,10 +30,10 @@
   ) {}
 
   /**
-   * Asks one router. Rejects with a `ProtocolFailure` where no answer comes in time; the connection is
-   * given up then, since nothing tells a slow router from one that is cut off.
+   * Queries one router. Rejects with a `ProtocolFailure` after a timeout, which also closes the
+   * connection, since a slow router can't be distinguished from a disconnected one.
    *
-   * @param position changes after it are wanted; undefined: all objects
+   * @param position requests the changes after this position; undefined for all objects
    */
   query(
     address: string,
@@ -42,7 +41,7 @@
     position: StorePosition | undefined,
     waitMs: number,
   ): Promise<RelayAnswer> {
-    this.dropIdle();
+    this.closeIdleLinks();
     let link = this.links.get(address);
     if (!link || link.isClosed) {
       link = new RelayLink(address, this.transport, this.clock);
@@ -57,7 +56,7 @@
     for (const link of this.links.values()) link.close('stopped');
   }
 
-  private dropIdle(): void {
+  private closeIdleLinks(): void {
     for (const [address, link] of this.links) {
       if (!link.isClosed && this.clock.now() - link.lastUsedMs < IDLE_LIFETIME_MS) continue;
       link.close('idle');
@@ -66,7 +65,7 @@
   }
 }
 
-/** The connection to one router, and the queries that wait on it. */
+/** The connection to one router and its pending queries. */
 class RelayLink {
   private readonly pending = new Map<number, PendingQuery>();
   private readonly unsent: Uint8Array[] = [];
@@ -96,8 +95,8 @@
         reject(this.failure('closed'));
         return;
       }
-      const limitMs = waitMs + ANSWER_SLACK_MS;
-      const timer = this.clock.setTimer(limitMs, () => this.close('no answer in time'));
+      const limitMs = waitMs + RESPONSE_TIMEOUT_MS;
+      const timer = this.clock.setTimer(limitMs, () => this.close('response timed out'));
       this.pending.set(number, { resolve, reject, timer });
       const frame = encodeRelayQuery({
         number,
@@ -129,14 +128,14 @@
     }
     this.connection = connection;
     connection.onFrame((frame) => this.receive(frame));
-    connection.onClose(() => this.close('connection ended'));
+    connection.onClose(() => this.close('connection closed'));
     for (const frame of this.unsent.splice(0)) connection.send(frame);
   }
 
   private receive(frame: Uint8Array): void {
     const message = decodeRelayFrame(frame);
     if (message?.kind !== 'answer') {
-      this.close('malformed answer');
+      this.close('malformed response');
       return;
     }
     const { answer } = message;
--- a/src/coordination/gateway/store-relay/relay-server.ts
+++ b/src/coordination/gateway/store-relay/relay-server.ts
@@ -1,7 +1,7 @@
 /**
- * Answers other routers from this router's mirrors of the store. A query that asks for changes is held
- * until there are some, until its time is over, or until the own proof has grown old: then the asker
- * should look elsewhere soon.
+ * Server of the store relay: answers queries of other routers from this router's mirrors. A query
+ * for changes is held until there are changes, its wait is over, or this router's own proof is
+ * outdated and the requesting router should use another source.
  */
 import type { Clock, Timer } from '../../../runtime/clock.js';
 import type { ElapsedInstant } from '../../../runtime/elapsed-instant.js';
@@ -13,40 +13,40 @@
   decodeRelayFrame,
   encodeRelayAnswer,
 } from '../../../protocol/peer/relay-codec.js';
-import { AnswerChanges } from './answer-changes.js';
+import { ResponseEncoder } from './answer-changes.js';
 import type { ObjectMirror } from './object-mirror.js';
 import type { ObjectMirrors } from './object-mirrors.js';
 
-/** Changes within this time go out in one answer. */
-const GATHER_MS = 40;
-/** Longest time a query is held, whatever it asks for. */
-const LONGEST_HOLD_MS = 5_000;
+/** Changes within this time are sent in one response. */
+const BATCH_DELAY_MS = 40;
+/** Longest time for which a query is held, whatever wait it requests. */
+const MAXIMUM_HOLD_MS = 5_000;
 
 interface HeldQuery {
   readonly query: RelayQuery;
   readonly connection: FrameConnection;
-  readonly received: ElapsedInstant;
-  /** The kind was not proved current when the query came: it is held until it is. */
+  readonly receivedAt: ElapsedInstant;
+  /** Whether the kind was not yet proven current on receipt; the query is held until it is. */
   readonly isAwaitingProof: boolean;
   timer: Timer | undefined;
 }
 
-/** The serving end of the relay. */
+/** Serves relay queries on all connections of one router. */
 export class RelayServer {
   private readonly held = new Map<string, Set<HeldQuery>>();
-  private readonly gathering = new Set<string>();
+  private readonly batchedKinds = new Set<string>();
   private readonly connections = new Set<FrameConnection>();
-  private readonly changes = new AnswerChanges();
+  private readonly changes = new ResponseEncoder();
   private isStopped = false;
 
-  /** @param freshMs a proof older than this is told at once, not held */
+  /** @param freshMs with a proof older than this, queries are answered without being held */
   constructor(
     private readonly mirrors: ObjectMirrors,
     private readonly freshMs: number,
     private readonly clock: Clock,
   ) {}
 
-  /** Serves a connection that another router has opened. */
+  /** Serves a connection opened by another router. */
   accept(connection: FrameConnection): void {
     if (this.isStopped) {
       connection.destroy();
@@ -54,15 +54,15 @@
     }
     this.connections.add(connection);
     connection.onFrame((frame) => this.receive(frame, connection));
-    connection.onClose(() => this.drop(connection));
+    connection.onClose(() => this.removeConnection(connection));
   }
 
-  /** The mirror of a kind has changed or has its first proof: whoever waits for that is told soon. */
-  noteChange(kind: string): void {
-    if (this.gathering.has(kind) || (this.held.get(kind)?.size ?? 0) === 0) return;
-    this.gathering.add(kind);
-    this.clock.setTimer(GATHER_MS, () => {
-      this.gathering.delete(kind);
+  /** Answers held queries of a kind, after its mirror has changed or has got its first proof. */
+  notifyChange(kind: string): void {
+    if (this.batchedKinds.has(kind) || (this.held.get(kind)?.size ?? 0) === 0) return;
+    this.batchedKinds.add(kind);
+    this.clock.setTimer(BATCH_DELAY_MS, () => {
+      this.batchedKinds.delete(kind);
       for (const held of [...(this.held.get(kind) ?? [])]) this.answerIfChanged(held);
     });
   }
@@ -82,7 +82,7 @@
     const held: HeldQuery = {
       query,
       connection,
-      received: this.clock.elapsed(),
+      receivedAt: this.clock.elapsed(),
       isAwaitingProof: !this.mirrors.of(query.kind).isProven,
       timer: undefined,
     };
@@ -94,11 +94,11 @@
     const { kind, waitMs } = held.query;
     const mirror = this.mirrors.of(kind);
     const now = this.clock.elapsed();
-    const leftMs = waitMs - now.since(held.received);
+    const remainingMs = waitMs - now.since(held.receivedAt);
     const untilOutdatedMs = this.freshMs - mirror.proofAgeMs(now);
-    const limitMs = held.isAwaitingProof ? LONGEST_HOLD_MS : untilOutdatedMs;
-    const holdMs = Math.min(leftMs, LONGEST_HOLD_MS, limitMs);
-    if (this.hasNews(held, mirror) || holdMs <= 0) {
+    const limitMs = held.isAwaitingProof ? MAXIMUM_HOLD_MS : untilOutdatedMs;
+    const holdMs = Math.min(remainingMs, MAXIMUM_HOLD_MS, limitMs);
+    if (this.isAnswerable(held, mirror) || holdMs <= 0) {
       this.answerWithChanges(held);
       return;
     }
@@ -111,33 +111,33 @@
     held.timer = this.clock.setTimer(holdMs, () => this.endHold(held));
   }
 
-  /** The own proof may have been renewed meanwhile: then there is time left to wait. */
+  /** Holds a query further if the own proof was renewed meanwhile and wait time remains. */
   private endHold(held: HeldQuery): void {
     this.release(held);
     const { kind, waitMs } = held.query;
     const now = this.clock.elapsed();
-    const leftMs = waitMs - now.since(held.received);
+    const remainingMs = waitMs - now.since(held.receivedAt);
     const isFresh = this.mirrors.of(kind).proofAgeMs(now) < this.freshMs;
-    if (leftMs > 1 && isFresh) this.hold({ ...held, timer: undefined });
+    if (remainingMs > 1 && isFresh) this.hold({ ...held, timer: undefined });
     else this.answerWithChanges(held);
   }
 
   private answerIfChanged(held: HeldQuery): void {
-    if (!this.hasNews(held, this.mirrors.of(held.query.kind))) return;
+    if (!this.isAnswerable(held, this.mirrors.of(held.query.kind))) return;
     this.release(held);
     this.answerWithChanges(held);
   }
 
-  private hasNews(held: HeldQuery, mirror: ObjectMirror): boolean {
+  private isAnswerable(held: HeldQuery, mirror: ObjectMirror): boolean {
     if (held.isAwaitingProof) return mirror.isProven;
-    // A mirror that is behind the asker has none yet: it may catch up while the query is held.
+    // A mirror behind the requested position may catch up while the query is held.
     return mirror.changesAfter(positionOf(held))?.length !== 0;
   }
 
   private answerWithChanges(held: HeldQuery): void {
     const mirror = this.mirrors.of(held.query.kind);
     const position = positionOf(held);
-    // A mirror behind the asker proves nothing to it.
+    // A mirror behind the requested position proves nothing.
     const isBehind = mirror.position.isBefore(position);
     this.answer(held, mirror, isBehind ? undefined : mirror.changesAfter(position));
   }
@@ -149,7 +149,7 @@
   }
 
   private answer(
-    { query, connection, received }: HeldQuery,
+    { query, connection, receivedAt }: HeldQuery,
     mirror: ObjectMirror,
     events: readonly ObjectEvent[] | undefined,
   ): void {
@@ -163,7 +163,7 @@
       isKnown: events !== undefined,
       position,
       proofAgeMs: mirror.proofAgeMs(now),
-      heldMs: now.since(received),
+      heldMs: now.since(receivedAt),
     };
     connection.send(encodeRelayAnswer(head, changes));
   }
@@ -173,7 +173,7 @@
     this.held.get(held.query.kind)?.delete(held);
   }
 
-  private drop(connection: FrameConnection): void {
+  private removeConnection(connection: FrameConnection): void {
     this.connections.delete(connection);
     for (const waiting of this.held.values()) {
       for (const held of [...waiting]) if (held.connection === connection) this.release(held);
@@ -181,7 +181,7 @@
   }
 }
 
-/** Where the asker stands; before all where it asks for all objects. */
+/** The position that a query starts from. */
 function positionOf({ query }: HeldQuery): StorePosition {
   return query.position ?? StorePosition.start;
 }
--- a/src/coordination/gateway/store-relay/store-relay.ts
+++ b/src/coordination/gateway/store-relay/store-relay.ts
@@ -1,4 +1,6 @@
-/** One router's part in relaying the store: its own view of it, and what it serves to others. */
+/**
+ * Relay of the store at one router: the router's own store port and the server for other routers.
+ */
 import type { Clock } from '../../../runtime/clock.js';
 import type { Logger } from '../../../runtime/logger.js';
 import type { RandomSource } from '../../../runtime/random.js';
@@ -11,8 +13,8 @@
 import { RelayServer } from './relay-server.js';
 import { type RelaySettings, RelayedObjectStore } from './relayed-object-store.js';
 
-/** What a relay takes from its surroundings. */
-export interface RelaySurroundings {
+/** External dependencies of the relay. */
+export interface RelayDependencies {
   readonly store: ObjectStorePort;
   readonly frames: FrameTransport;
   readonly clock: Clock;
@@ -20,24 +22,24 @@
   readonly logger: Logger;
 }
 
-/** Both ends of the relay at one router. */
+/** Client and server of the relay at one router. */
 export class StoreRelay {
   private constructor(
-    /** The store as this router's followers and its lease see it. */
+    /** Store port for this router's followers and its lease. */
     readonly store: RelayedObjectStore,
     private readonly client: RelayClient,
     private readonly server: RelayServer,
     private readonly listener: FrameListener,
   ) {}
 
-  /** Listens for other routers at this router's group address. */
+  /** Listens for connections of other routers at this router's gossip address. */
   static async open(
     settings: RelaySettings,
     group: GroupMembership,
     eras: StoreEras,
-    surroundings: RelaySurroundings,
+    dependencies: RelayDependencies,
   ): Promise<StoreRelay> {
-    const { store, frames, clock, random, logger } = surroundings;
+    const { store, frames, clock, random, logger } = dependencies;
     const mirrors = new ObjectMirrors();
     const client = new RelayClient(frames, clock);
     const server = new RelayServer(mirrors, settings.freshMs, clock);
--- a/test/gateway/cluster-gossip.test.ts
+++ b/test/gateway/cluster-gossip.test.ts
@@ -1,4 +1,4 @@
-/** Gossip that is put together from encoded statements is read as if it had been encoded whole. */
+/** Guards against gossip datagrams that differ when they are assembled from encoded updates. */
 import test from 'ava';
 import { create, toBinary } from '@bufbuild/protobuf';
 import fc from 'fast-check';
@@ -26,7 +26,7 @@
   capacity: fc.nat(),
 });
 
-test('statements that were encoded before are read like those of a datagram encoded whole', (t) => {
+test('a datagram assembled from encoded updates equals one encoded as a whole', (t) => {
   const property = fc.property(
     fc.string(),
     fc.nat(),
--- a/test/gateway/load-collection.test.ts
+++ b/test/gateway/load-collection.test.ts
@@ -1,4 +1,4 @@
-/** Routers of a large group know the work of all others soon, also when the router that collects it dies. */
+/** Guards against missing or doubly counted load in a large group, also after a collector died. */
 import test from 'ava';
 import { busiest } from '../../src/state/routing/collected-loads.js';
 import { LoadCollection } from '../../src/coordination/gateway/load-collection.js';
@@ -10,8 +10,8 @@
 
 const ROUTERS = 40;
 const SETTLED_MS = 3_000;
-/** Two periods, and the ways. */
-const KNOWN_MS = 250;
+/** Two collection periods and the network latency. */
+const PROPAGATION_MS = 250;
 const ENGINE = 'engine-1';
 const WORK = { requests: 1, unreadTokens: 9_000, heldTokens: 9_200 };
 
@@ -21,12 +21,12 @@
 }
 
 async function collectingGroup(seed: number): Promise<[GroupHarness, CollectingRouter[]]> {
-  const world = await GroupHarness.create(ROUTERS, seed);
+  const harness = await GroupHarness.create(ROUTERS, seed);
   const registry = new EngineRegistry();
   registry.put(
     engineRecord(ENGINE, undefined, { zone: 'zone-0', slots: 16, modelVersions: new Map() }),
   );
-  const routers = world.routers.map(({ group, host }) => {
+  const routers = harness.routers.map(({ group, host }) => {
     const loads = new LoadTable();
     const parts = { group, loads, registry, clock: host, logger: new SilentLogger() };
     const collection = new LoadCollection(parts);
@@ -34,44 +34,44 @@
     collection.start();
     return { loads, collection };
   });
-  await world.clock.advance(SETTLED_MS);
-  return [world, routers];
+  await harness.clock.advance(SETTLED_MS);
+  return [harness, routers];
 }
 
 function requestsKnownTo(routers: readonly CollectingRouter[]): number[] {
   return routers.map(({ loads }) => loads.at(ENGINE).requests);
 }
 
-test('the work of each router is known to all, counted once', async (t) => {
-  const [world, routers] = await collectingGroup(1);
+test('every router learns the work of all routers, counted once', async (t) => {
+  const [harness, routers] = await collectingGroup(1);
   for (const { loads } of routers) loads.change(ENGINE, WORK);
-  await world.clock.advance(KNOWN_MS);
+  await harness.clock.advance(PROPAGATION_MS);
   t.deepEqual(requestsKnownTo(routers), Array<number>(ROUTERS).fill(ROUTERS));
   for (const { loads } of routers) {
     loads.change(ENGINE, { requests: -1, unreadTokens: -9_000, heldTokens: -9_200 });
   }
-  await world.clock.advance(KNOWN_MS);
+  await harness.clock.advance(PROPAGATION_MS);
   t.deepEqual(requestsKnownTo(routers), Array<number>(ROUTERS).fill(0));
 });
 
-test('where the collector dies the next takes its place', async (t) => {
-  const [world, routers] = await collectingGroup(2);
+test('the next router replaces a collector that died', async (t) => {
+  const [harness, routers] = await collectingGroup(2);
   for (const { loads } of routers) loads.change(ENGINE, WORK);
-  await world.clock.advance(KNOWN_MS);
-  // All machines are equal, so the first by name collects.
-  const names = world.routers.map(({ name }) => name);
+  await harness.clock.advance(PROPAGATION_MS);
+  // With equal capacities the first router by name is the collector.
+  const names = harness.routers.map(({ name }) => name);
   const collector = names.indexOf([...names].sort()[0] as string);
-  world.powerOff(collector);
-  const TAKEN_OVER_MS = 1_000;
-  await world.clock.advance(TAKEN_OVER_MS);
+  harness.powerOff(collector);
+  const TAKEOVER_MS = 1_000;
+  await harness.clock.advance(TAKEOVER_MS);
   const REPORTS_EXPIRED_MS = 2_500;
-  await world.clock.advance(REPORTS_EXPIRED_MS);
-  for (const { loads } of routers) loads.expire(world.clock.now());
+  await harness.clock.advance(REPORTS_EXPIRED_MS);
+  for (const { loads } of routers) loads.expire(harness.clock.now());
   const known = requestsKnownTo(routers).filter((_, index) => index !== collector);
   t.deepEqual(known, Array<number>(ROUTERS - 1).fill(ROUTERS - 1));
 });
 
-test('a summary names the busiest engines, all where they are few', (t) => {
+test('a summary contains the busiest engines, or all if they are few', (t) => {
   const loadOf = (unreadTokens: number): typeof WORK => ({ ...WORK, unreadTokens });
   const sums = new Map([
     ['a', loadOf(10)],
--- a/test/gateway/object-follower.test.ts
+++ b/test/gateway/object-follower.test.ts
@@ -1,4 +1,4 @@
-/** A watch that waits in vain does not keep its follower from what a fresh list shows. */
+/** Guards against a follower that misses changes while its watch is pending without a result. */
 import test from 'ava';
 import { ObjectFollower } from '../../src/coordination/gateway/object-follower.js';
 import {
@@ -13,7 +13,7 @@
 import { positionAt } from '../helpers/positions.js';
 import { silentFollowerEvents } from '../helpers/silent-follower-events.js';
 
-/** A store whose watches end only when the test says so. */
+/** A store whose watches end only when the test ends them. */
 class WaitingStore implements Pick<ObjectStorePort, 'list' | 'watch'> {
   revision = 1;
   lists = 0;
@@ -31,7 +31,7 @@
   }
 }
 
-/** A follower that writes all contents it is shown into `seen`. */
+/** A follower that records the specs of all received objects in `seen`. */
 function followerOf(
   store: WaitingStore,
   clock: VirtualClock,
@@ -58,7 +58,7 @@
   );
 }
 
-test('a refresh shows what a silent watch does not, and the watch is taken up from there', async (t) => {
+test('a refresh lists changes that a pending watch missed, and the next watch starts from the list', async (t) => {
   const clock = new VirtualClock();
   const store = new WaitingStore();
   const seen: unknown[] = [];
@@ -72,7 +72,7 @@
   store.revision = 5;
   await follower.refresh();
   t.deepEqual(seen, [1, 5]);
-  // The old watch ends with the loss of the history, which the list has made up for.
+  // The old watch ends with lost history; its result is discarded after the list.
   store.watches[0]?.end({ kind: 'history-gone' });
   await clock.advance(10);
   t.is(historyGone, 0);
@@ -85,7 +85,7 @@
   follower.stop();
 });
 
-test('a list that a watch has overtaken meanwhile is dropped', async (t) => {
+test('a list older than the result of a concurrent watch is discarded', async (t) => {
   const clock = new VirtualClock();
   const store = new WaitingStore();
   const seen: unknown[] = [];
--- a/test/gateway/relay-eras.test.ts
+++ b/test/gateway/relay-eras.test.ts
@@ -1,4 +1,4 @@
-/** Following a store that was restored through other routers, some of a build that knows no eras. */
+/** Guards against outdated relayed state after the store was restored. */
 import test from 'ava';
 import { ObjectMirror } from '../../src/coordination/gateway/store-relay/object-mirror.js';
 import { PeerQueries } from '../../src/coordination/gateway/store-relay/peer-queries.js';
@@ -23,15 +23,15 @@
   return { name: `thing-${revision}`, position: positionAt(revision, era), spec };
 }
 
-/** Asks routers that all give the same answer. */
-function queriesAnswered(answer: Omit<RelayAnswer, 'number' | 'heldMs'>): PeerQueries {
+/** Queries whose responses are all the same. */
+function queriesWithResponse(answer: Omit<RelayAnswer, 'number' | 'heldMs'>): PeerQueries {
   const query = (): Promise<RelayAnswer> => Promise.resolve({ ...answer, number: 1, heldMs: 0 });
   const client = { query } as unknown as RelayClient;
   return new PeerQueries(client, SETTINGS.freshMs, new VirtualClock());
 }
 
-/** Watches without end. */
-async function watchOn(store: RelayedObjectStore, from: StorePosition): Promise<void> {
+/** Watches in an endless loop. */
+async function watchForever(store: RelayedObjectStore, from: StorePosition): Promise<void> {
   let position = from;
   for (;;) {
     const result = await store.watch(KIND, position, 300);
@@ -39,61 +39,61 @@
   }
 }
 
-test('a mirror of a restored store has the restored state, and answers askers of the former era with none', (t) => {
+test('a mirror of a restored store has the restored state and no changes after a previous era', (t) => {
   const mirror = new ObjectMirror();
-  mirror.takeList([thing(4, 1), thing(9, 1)], positionAt(9, 1), elapsedAt(0));
-  mirror.takeList([thing(4, 2)], positionAt(6, 2), elapsedAt(100));
+  mirror.applyList([thing(4, 1), thing(9, 1)], positionAt(9, 1), elapsedAt(0));
+  mirror.applyList([thing(4, 2)], positionAt(6, 2), elapsedAt(100));
   t.deepEqual(
     mirror.all.map(({ name }) => name),
     ['thing-4'],
   );
-  // The revision that the asker knows has been given out again.
+  // The restored store assigns a revision again that the requesting router knows already.
   const later = { object: thing(9, 2), isGone: false };
-  mirror.takeChanges([later], positionAt(9, 2), elapsedAt(200));
+  mirror.applyChanges([later], positionAt(9, 2), elapsedAt(200));
   t.is(mirror.changesAfter(positionAt(7, 1)), undefined);
   t.deepEqual(mirror.changesAfter(positionAt(7, 2)), [later]);
 });
 
-test('what comes late from the former era changes a mirror no more', (t) => {
+test('a mirror ignores late results of the previous era', (t) => {
   const mirror = new ObjectMirror();
-  mirror.takeList([thing(4, 2)], positionAt(6, 2), elapsedAt(0));
+  mirror.applyList([thing(4, 2)], positionAt(6, 2), elapsedAt(0));
   const stale = { object: thing(8, 1), isGone: false };
-  mirror.takeChanges([stale], positionAt(8, 1), elapsedAt(100));
-  mirror.takeList([thing(8, 1)], positionAt(8, 1), elapsedAt(100));
+  mirror.applyChanges([stale], positionAt(8, 1), elapsedAt(100));
+  mirror.applyList([thing(8, 1)], positionAt(8, 1), elapsedAt(100));
   t.deepEqual(mirror.all, [thing(4, 2)]);
 });
 
-test('changes of the next era do not follow on a list of the former one', (t) => {
+test('a mirror ignores changes of the next era until it is listed', (t) => {
   const mirror = new ObjectMirror();
-  mirror.takeList([thing(4, 1)], positionAt(4, 1), elapsedAt(0));
-  mirror.takeChanges([{ object: thing(6, 2), isGone: false }], positionAt(6, 2), elapsedAt(100));
+  mirror.applyList([thing(4, 1)], positionAt(4, 1), elapsedAt(0));
+  mirror.applyChanges([{ object: thing(6, 2), isGone: false }], positionAt(6, 2), elapsedAt(100));
   t.deepEqual(mirror.all, [thing(4, 1)]);
   t.true(mirror.position.isSame(positionAt(4, 1)));
 });
 
-test('a follower takes the restored state from its reader', async (t) => {
-  const world = await RelayHarness.create(2);
-  const [reader, follower] = world.stores as [RelayedObjectStore, RelayedObjectStore];
-  world.store.put(KIND, 'first', 1);
-  const copiedMs = world.clock.now();
-  await world.clock.advance(100);
-  for (const value of [2, 3, 4]) world.store.put(KIND, 'first', value);
-  await world.run(reader.list(KIND, ListFreshness.Current));
-  const before = await world.run(follower.list(KIND, ListFreshness.Current));
+test('a follower gets the restored state from its reader', async (t) => {
+  const harness = await RelayHarness.create(2);
+  const [reader, follower] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
+  harness.store.put(KIND, 'first', 1);
+  const copiedMs = harness.clock.now();
+  await harness.clock.advance(100);
+  for (const value of [2, 3, 4]) harness.store.put(KIND, 'first', value);
+  await harness.run(reader.list(KIND, ListFreshness.Current));
+  const before = await harness.run(follower.list(KIND, ListFreshness.Current));
   if (before instanceof Error) return t.fail(before.message);
-  world.store.restore(copiedMs);
-  for (const value of [5, 6, 7, 8]) world.store.put(KIND, 'second', value);
-  await world.run(reader.list(KIND, ListFreshness.Current));
-  const result = await world.run(follower.watch(KIND, before.position, 600));
+  harness.store.restore(copiedMs);
+  for (const value of [5, 6, 7, 8]) harness.store.put(KIND, 'second', value);
+  await harness.run(reader.list(KIND, ListFreshness.Current));
+  const result = await harness.run(follower.watch(KIND, before.position, 600));
   t.deepEqual(result, { kind: 'history-gone' });
-  const list = await world.run(follower.list(KIND, ListFreshness.Current));
+  const list = await harness.run(follower.list(KIND, ListFreshness.Current));
   t.like(list, { isRelayed: true, objects: { 0: { spec: 1 }, 1: { spec: 8 } } });
 });
 
-test('the word of a build that knows no eras adds what it knows and proves nothing', async (t) => {
+test('a response without an era provides objects but no proof', async (t) => {
   const position = new StorePosition(StoreEra.Unknown, 12);
   const events = [{ object: thing(12, StoreEra.Unknown), isGone: false }];
-  const queries = queriesAnswered({ isKnown: true, events, position, proofAgeMs: 5 });
+  const queries = queriesWithResponse({ isKnown: true, events, position, proofAgeMs: 5 });
   await t.throwsAsync(queries.changes(member('old'), KIND, positionAt(3, 1), 0));
   await t.throwsAsync(queries.changes(member('old'), KIND, position, 0));
   t.is(await queries.recentList(member('old'), KIND), undefined);
@@ -102,7 +102,7 @@
   t.is(list?.proven, ElapsedInstant.never);
 });
 
-test('a list of a known era goes before one of a build without eras, whatever the revisions', async (t) => {
+test('a list with an era is preferred over one without, whatever the revisions', async (t) => {
   const answers = [positionAt(3, 1), new StorePosition(StoreEra.Unknown, 90)];
   const client = {
     query: (): Promise<Omit<RelayAnswer, 'number' | 'heldMs'>> =>
@@ -118,7 +118,7 @@
   t.true(list?.position.isSame(positionAt(3, 1)));
 });
 
-test('eras survive the way between routers, and their absence does', (t) => {
+test('relay frames preserve eras and their absence', (t) => {
   const head = { number: 1, isKnown: true, proofAgeMs: 1, heldMs: 1 };
   for (const era of [StoreEra.Unknown, StoreEra.None, 1, 7]) {
     const position = new StorePosition(era, 40);
@@ -129,23 +129,23 @@
   }
 });
 
-test('a router that is cut from a restored store takes its state from another router', async (t) => {
-  const world = await RelayHarness.create(2, { ...SETTINGS, directGroupSize: 5 });
-  const [other, cut] = world.stores as [RelayedObjectStore, RelayedObjectStore];
-  world.store.put(KIND, 'first', 1);
-  const copiedMs = world.clock.now();
-  await world.clock.advance(100);
-  world.store.put(KIND, 'first', 2);
-  const before = await world.run(cut.list(KIND, ListFreshness.Current));
+test('a router without a connection to a restored store gets its state from another router', async (t) => {
+  const harness = await RelayHarness.create(2, { ...SETTINGS, directGroupSize: 5 });
+  const [other, cut] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
+  harness.store.put(KIND, 'first', 1);
+  const copiedMs = harness.clock.now();
+  await harness.clock.advance(100);
+  harness.store.put(KIND, 'first', 2);
+  const before = await harness.run(cut.list(KIND, ListFreshness.Current));
   if (before instanceof Error) return t.fail(before.message);
-  world.store.unreachableFor.add('node-1');
-  world.store.restore(copiedMs);
-  world.store.put(KIND, 'second', 3);
-  const restored = await world.run(other.list(KIND, ListFreshness.Current));
+  harness.store.unreachableFor.add('node-1');
+  harness.store.restore(copiedMs);
+  harness.store.put(KIND, 'second', 3);
+  const restored = await harness.run(other.list(KIND, ListFreshness.Current));
   if (restored instanceof Error) return t.fail(restored.message);
-  void watchOn(other, restored.position);
-  const result = await world.run(cut.watch(KIND, before.position, 600));
+  void watchForever(other, restored.position);
+  const result = await harness.run(cut.watch(KIND, before.position, 600));
   t.deepEqual(result, { kind: 'history-gone' });
-  const list = await world.run(cut.list(KIND, ListFreshness.Current));
+  const list = await harness.run(cut.list(KIND, ListFreshness.Current));
   t.like(list, { isRelayed: true, position: restored.position, objects: { 0: { spec: 1 } } });
 });
--- a/test/gateway/relayed-changes.test.ts
+++ b/test/gateway/relayed-changes.test.ts
@@ -1,7 +1,7 @@
-/** The changes that a router answers to those that follow the store through it. */
+/** Guards against lost or altered changes, and repeated encoding, in relay responses. */
 import test from 'ava';
 import fc from 'fast-check';
-import { AnswerChanges } from '../../src/coordination/gateway/store-relay/answer-changes.js';
+import { ResponseEncoder } from '../../src/coordination/gateway/store-relay/answer-changes.js';
 import type { ObjectEvent } from '../../src/protocol/object-store/port.js';
 import { type EncodedChanges } from '../../src/protocol/peer/encoded-changes.js';
 import { decodeRelayFrame, encodeRelayAnswer } from '../../src/protocol/peer/relay-codec.js';
@@ -25,37 +25,37 @@
   return message?.kind === 'answer' ? message.answer.events : undefined;
 }
 
-test('changes arrive as they were, deflated or not', (t) => {
+test('encoded changes decode unchanged, deflated or not', (t) => {
   const anyEvents = fc.array(fc.boolean(), { maxLength: 60 });
   const property = fc.property(anyEvents, fc.boolean(), (gone, acceptsDeflated) => {
     const events = gone.map((isGone, index) => eventOf(index, isGone));
-    const changes = new AnswerChanges().encode(SPAN, events, acceptsDeflated);
+    const changes = new ResponseEncoder().encode(SPAN, events, acceptsDeflated);
     t.deepEqual(decodedEvents(changes), events);
     if (!acceptsDeflated) t.is(changes.kind, 'plain');
   });
   fc.assert(property, { seed: 1, numRuns: 200 });
 });
 
-test('many changes are deflated for a build that can inflate, and not for an earlier one', (t) => {
+test('many changes are deflated only for routers that accept it', (t) => {
   const events = Array.from({ length: 200 }, (_, index) => eventOf(index, false));
-  const answers = new AnswerChanges();
-  const deflated = encodeRelayAnswer(HEAD, answers.encode(SPAN, events, true));
-  const plain = encodeRelayAnswer(HEAD, answers.encode(SPAN, events, false));
+  const encoder = new ResponseEncoder();
+  const deflated = encodeRelayAnswer(HEAD, encoder.encode(SPAN, events, true));
+  const plain = encodeRelayAnswer(HEAD, encoder.encode(SPAN, events, false));
   t.true(deflated.length < plain.length / 5, `${deflated.length} of ${plain.length} bytes`);
 });
 
-test('the same changes are encoded once, others anew', (t) => {
+test('equal changes are encoded once, other changes separately', (t) => {
   const events = Array.from({ length: 200 }, (_, index) => eventOf(index, false));
-  const answers = new AnswerChanges();
-  const first = answers.encode(SPAN, events, true);
-  t.is(answers.encode(SPAN, events, true), first);
+  const encoder = new ResponseEncoder();
+  const first = encoder.encode(SPAN, events, true);
+  t.is(encoder.encode(SPAN, events, true), first);
   const later = [...events, eventOf(200, false)];
-  const next = answers.encode({ ...SPAN, to: positionAt(41) }, later, true);
+  const next = encoder.encode({ ...SPAN, to: positionAt(41) }, later, true);
   t.deepEqual(decodedEvents(next), later);
-  t.not(answers.encode({ ...SPAN, kind: 'config' }, events, true), first);
+  t.not(encoder.encode({ ...SPAN, kind: 'config' }, events, true), first);
 });
 
-test('a frame with changes that are no deflated message is malformed', (t) => {
+test('a frame whose deflated changes are invalid is malformed', (t) => {
   const bytes = new Uint8Array([1, 2, 3]);
   t.is(decodeRelayFrame(encodeRelayAnswer(HEAD, { kind: 'deflated', bytes })), undefined);
 });
--- a/test/gateway/store-order.test.ts
+++ b/test/gateway/store-order.test.ts
@@ -1,4 +1,4 @@
-/** An older state of the store never replaces a newer one, whichever way it comes. */
+/** Guards against an older state of the store that replaces a newer one. */
 import test from 'ava';
 import { ObjectFollower } from '../../src/coordination/gateway/object-follower.js';
 import { ObjectMirror } from '../../src/coordination/gateway/store-relay/object-mirror.js';
@@ -32,13 +32,13 @@
   spec: { isDraining: true },
 };
 
-test('a list that a watch has overtaken does not take a change away from the followers', (t) => {
+test('a list older than the result of a watch does not hide its changes from followers', (t) => {
   const mirror = new ObjectMirror();
-  mirror.takeList([READY], positionAt(9), elapsedAt(0));
-  mirror.takeChanges([{ object: DRAINING, isGone: false }], positionAt(10), elapsedAt(100));
-  // The call began before the change and was answered after the watch.
-  mirror.takeList([READY], positionAt(9), elapsedAt(90));
-  mirror.takeChanges([], positionAt(12), elapsedAt(200));
+  mirror.applyList([READY], positionAt(9), elapsedAt(0));
+  mirror.applyChanges([{ object: DRAINING, isGone: false }], positionAt(10), elapsedAt(100));
+  // The list call started before the change and ended after the watch.
+  mirror.applyList([READY], positionAt(9), elapsedAt(90));
+  mirror.applyChanges([], positionAt(12), elapsedAt(200));
   t.deepEqual(mirror.all, [DRAINING]);
   t.deepEqual(
     mirror.changesAfter(positionAt(9))?.map(({ object }) => object),
@@ -46,24 +46,24 @@
   );
 });
 
-test('a removal is not told again to those who know that the object is back', (t) => {
+test('the removal of an object is not repeated after it was created again', (t) => {
   const back: StoredObject = {
     name: 'engine-1',
     position: positionAt(11),
     spec: { isDraining: false },
   };
   const mirror = new ObjectMirror();
-  mirror.takeList([back], positionAt(11), elapsedAt(0));
-  // A watch that began at revision 9 is answered after the list.
+  mirror.applyList([back], positionAt(11), elapsedAt(0));
+  // A watch that started at revision 9 ends after the list.
   const events = [
     { object: READY, isGone: true },
     { object: back, isGone: false },
   ];
-  mirror.takeChanges(events, positionAt(12), elapsedAt(100));
+  mirror.applyChanges(events, positionAt(12), elapsedAt(100));
   t.deepEqual(mirror.changesAfter(positionAt(11)), []);
 });
 
-/** Answers each call with the next of the given results; the last watch never ends. */
+/** Returns the given results in order; further calls never end. */
 class ScriptedStore implements ObjectStorePort {
   constructor(
     private readonly lists: ObjectList[],
@@ -97,11 +97,11 @@
   }
 }
 
-test('a list older than what is known is not taken when the history was lost', async (t) => {
+test('a list older than the known state is ignored after the history was lost', async (t) => {
   const store = new ScriptedStore(
     [
       { objects: [DRAINING], position: positionAt(10) },
-      // Another router's list, while the store itself can't be read.
+      // A list of another router while the store is unavailable.
       { objects: [READY], position: positionAt(9) },
       { objects: [DRAINING], position: positionAt(12) },
     ],
@@ -130,7 +130,7 @@
   t.deepEqual(taken, [[DRAINING], [DRAINING]]);
 });
 
-test('an engine that drained takes no work when an old entry of it comes back', (t) => {
+test('a drained engine gets no work after an older entry of it was received', (t) => {
   const record: EngineRecord = engineRecord('engine-1', undefined, {
     service: 'plain',
     modelVersions: new Map(),
@@ -142,21 +142,21 @@
   t.deepEqual(registry.readyOf('plain'), []);
 });
 
-test('a router hears a change through a reader whose list was overtaken by it', async (t) => {
-  const world = await RelayHarness.create(2);
-  const [reader, follower] = world.stores as [RelayedObjectStore, RelayedObjectStore];
-  world.store.put(KIND, 'engine-1', { isDraining: false });
-  await world.run(reader.list(KIND, ListFreshness.Current));
-  const before = new StorePosition(world.store.era, world.store.revision);
-  world.store.listDelaysMs.push(300);
+test('a follower receives a change although the reader got an older list after it', async (t) => {
+  const harness = await RelayHarness.create(2);
+  const [reader, follower] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
+  harness.store.put(KIND, 'engine-1', { isDraining: false });
+  await harness.run(reader.list(KIND, ListFreshness.Current));
+  const before = new StorePosition(harness.store.era, harness.store.revision);
+  harness.store.listDelaysMs.push(300);
   const overtaken = reader.list(KIND, ListFreshness.Current);
-  await world.clock.advance(10);
-  world.store.put(KIND, 'engine-1', { isDraining: true });
-  await world.run(reader.watch(KIND, before, 600));
-  await world.run(overtaken);
-  await world.run(
-    reader.watch(KIND, new StorePosition(world.store.era, world.store.revision), 600),
+  await harness.clock.advance(10);
+  harness.store.put(KIND, 'engine-1', { isDraining: true });
+  await harness.run(reader.watch(KIND, before, 600));
+  await harness.run(overtaken);
+  await harness.run(
+    reader.watch(KIND, new StorePosition(harness.store.era, harness.store.revision), 600),
   );
-  const result = await world.run(follower.watch(KIND, before, 600));
+  const result = await harness.run(follower.watch(KIND, before, 600));
   t.like(result, { kind: 'events', events: [{ object: { spec: { isDraining: true } } }] });
 });
--- a/test/gateway/store-relay.test.ts
+++ b/test/gateway/store-relay.test.ts
@@ -1,4 +1,4 @@
-/** Following the store through other routers: what is told, and how old a proof may be. */
+/** Guards against lost changes and wrong proofs when a store is followed through other routers. */
 import { fc } from '@fast-check/ava';
 import test from 'ava';
 import { ObjectMirrors } from '../../src/coordination/gateway/store-relay/object-mirrors.js';
@@ -18,13 +18,13 @@
 import type { StorePosition } from '../../src/runtime/store-position.js';
 import { positionAt } from '../helpers/positions.js';
 
-/** Lists at both, then lets the reader follow without end. */
-async function followedWorld(): Promise<{ world: RelayHarness; position: StorePosition }> {
-  const world = await RelayHarness.create(2);
-  world.store.put(KIND, 'first', { value: 1 });
-  const [reader, follower] = world.stores as [RelayedObjectStore, RelayedObjectStore];
-  await world.run(reader.list(KIND, ListFreshness.Current));
-  const list = await world.run(follower.list(KIND, ListFreshness.Current));
+/** Lists at both routers, then lets the reader follow in an endless loop. */
+async function followedHarness(): Promise<{ harness: RelayHarness; position: StorePosition }> {
+  const harness = await RelayHarness.create(2);
+  harness.store.put(KIND, 'first', { value: 1 });
+  const [reader, follower] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
+  await harness.run(reader.list(KIND, ListFreshness.Current));
+  const list = await harness.run(follower.list(KIND, ListFreshness.Current));
   if (list instanceof Error) throw list;
   const follow = async (position: StorePosition): Promise<void> => {
     let at = position;
@@ -34,18 +34,18 @@
     }
   };
   void follow(list.position);
-  return { world, position: list.position };
+  return { harness, position: list.position };
 }
 
-/** Age of a proof in milliseconds; Infinity where there is none. */
-function proofAgeMs(world: RelayHarness, proven: ElapsedInstant | undefined): number {
-  return world.clock.elapsed().since(proven ?? ElapsedInstant.never);
+/** Age of a proof in milliseconds; Infinity if there is none. */
+function proofAgeMs(harness: RelayHarness, proven: ElapsedInstant | undefined): number {
+  return harness.clock.elapsed().since(proven ?? ElapsedInstant.never);
 }
 
-test('a change reaches a follower through its reader, without a call of its own', async (t) => {
-  const { world, position } = await followedWorld();
-  const watch = world.run((world.stores[1] as RelayedObjectStore).watch(KIND, position, 1_500));
-  world.store.put(KIND, 'second', { value: [1, 2] });
+test('a follower receives a change through its reader without calling the store', async (t) => {
+  const { harness, position } = await followedHarness();
+  const watch = harness.run((harness.stores[1] as RelayedObjectStore).watch(KIND, position, 1_500));
+  harness.store.put(KIND, 'second', { value: [1, 2] });
   const result = await watch;
   t.like(result, { kind: 'events', position: { revision: position.revision + 1 } });
   if (!(result instanceof Error) && result.kind === 'events') {
@@ -53,17 +53,17 @@
       result.events.map((event) => [event.object.name, event.object.spec]),
       [['second', { value: [1, 2] }]],
     );
-    t.true(proofAgeMs(world, result.proven) <= 2 * SETTINGS.watchMs);
+    t.true(proofAgeMs(harness, result.proven) <= 2 * SETTINGS.watchMs);
   }
-  t.is(world.calls[1], 0);
+  t.is(harness.calls[1], 0);
 });
 
-test('a query is answered within its wait, also where the proof is renewed meanwhile', async (t) => {
+test('a query is answered within its wait even if the proof is renewed meanwhile', async (t) => {
   const clock = new VirtualClock();
   const mirrors = new ObjectMirrors();
   const server = new RelayServer(mirrors, SETTINGS.freshMs, clock);
   const mirror = mirrors.of(KIND);
-  mirror.takeList([], positionAt(5), clock.elapsed());
+  mirror.applyList([], positionAt(5), clock.elapsed());
   await clock.advance(1_000);
   let answeredMs = Infinity;
   let receive: (frame: Uint8Array) => void = () => undefined;
@@ -92,17 +92,17 @@
     }),
   );
   await clock.advance(200);
-  mirror.takeChanges([], positionAt(5), clock.elapsed());
+  mirror.applyChanges([], positionAt(5), clock.elapsed());
   await clock.advance(2_000);
   t.true(answeredMs - askedMs <= 600, `answered after ${answeredMs - askedMs} ms`);
 });
 
-test('a query that is ahead of the mirror is held until the mirror has caught up', async (t) => {
+test('a query for a position ahead of the mirror is held until the mirror has caught up', async (t) => {
   const clock = new VirtualClock();
   const mirrors = new ObjectMirrors();
   const server = new RelayServer(mirrors, SETTINGS.freshMs, clock);
   const mirror = mirrors.of(KIND);
-  mirror.takeList([], positionAt(5), clock.elapsed());
+  mirror.applyList([], positionAt(5), clock.elapsed());
   const answers: RelayMessage[] = [];
   let receive: (frame: Uint8Array) => void = () => undefined;
   const connection = {
@@ -123,63 +123,65 @@
   await clock.advance(300);
   t.is(answers.length, 0);
   const object = { name: 'thing', position: positionAt(8), spec: 1 };
-  mirror.takeChanges([{ object, isGone: false }], positionAt(8), clock.elapsed());
-  server.noteChange(KIND);
+  mirror.applyChanges([{ object, isGone: false }], positionAt(8), clock.elapsed());
+  server.notifyChange(KIND);
   await clock.advance(100);
   t.like(answers[0], { answer: { isKnown: true, events: { 0: { object } } } });
 });
 
-test('a removal reaches a follower', async (t) => {
-  const { world, position } = await followedWorld();
-  const watch = world.run((world.stores[1] as RelayedObjectStore).watch(KIND, position, 1_500));
-  world.store.remove(KIND, 'first');
+test('a follower receives a removal through its reader', async (t) => {
+  const { harness, position } = await followedHarness();
+  const watch = harness.run((harness.stores[1] as RelayedObjectStore).watch(KIND, position, 1_500));
+  harness.store.remove(KIND, 'first');
   const result = await watch;
   t.like(result, { kind: 'events', events: { 0: { isGone: true, object: { name: 'first' } } } });
 });
 
-test('a reader that is cut from the store is left within the bound on a proof', async (t) => {
-  const { world, position } = await followedWorld();
-  const follower = world.stores[1] as RelayedObjectStore;
-  await world.run(follower.watch(KIND, position, 1_500));
-  world.store.unreachableFor.add('node-0');
-  world.store.put(KIND, 'second', { value: 2 });
-  const beganMs = world.clock.now();
+test('a follower stops using a reader without a store connection within the maximum proof age', async (t) => {
+  const { harness, position } = await followedHarness();
+  const follower = harness.stores[1] as RelayedObjectStore;
+  await harness.run(follower.watch(KIND, position, 1_500));
+  harness.store.unreachableFor.add('node-0');
+  harness.store.put(KIND, 'second', { value: 2 });
+  const beganMs = harness.clock.now();
   let at = position;
   while (at.isSame(position)) {
-    const result = await world.run(follower.watch(KIND, at, 1_500));
+    const result = await harness.run(follower.watch(KIND, at, 1_500));
     if (result instanceof Error || result.kind !== 'events') return t.fail(String(result));
     if (result.events.length > 0) at = result.position;
   }
-  t.true(world.clock.now() - beganMs <= SETTINGS.freshMs + 100);
+  t.true(harness.clock.now() - beganMs <= SETTINGS.freshMs + 100);
 });
 
-test('a frozen reader is left, and its late answers are not taken', async (t) => {
-  const { world, position } = await followedWorld();
-  const follower = world.stores[1] as RelayedObjectStore;
-  await world.run(follower.watch(KIND, position, 1_500));
-  (world.hosts[0] as HostClock).pause();
-  world.store.put(KIND, 'second', { value: 2 });
-  const beganMs = world.clock.now();
-  const result = await world.run(follower.watch(KIND, position, 1_500));
+test('a follower stops using a frozen reader and ignores its late responses', async (t) => {
+  const { harness, position } = await followedHarness();
+  const follower = harness.stores[1] as RelayedObjectStore;
+  await harness.run(follower.watch(KIND, position, 1_500));
+  (harness.hosts[0] as HostClock).pause();
+  harness.store.put(KIND, 'second', { value: 2 });
+  const beganMs = harness.clock.now();
+  const result = await harness.run(follower.watch(KIND, position, 1_500));
   t.like(result, { kind: 'events', position: { revision: position.revision + 1 } });
-  t.true(world.clock.now() - beganMs <= SETTINGS.watchMs + 400);
-  t.is(world.calls[1], 1);
+  t.true(harness.clock.now() - beganMs <= SETTINGS.watchMs + 400);
+  t.is(harness.calls[1], 1);
 });
 
-test('a router that is cut from the store follows through another', async (t) => {
-  const { world, position } = await followedWorld();
-  world.store.unreachableFor.add('node-1');
-  (world.stores[0] as RelayedObjectStore).list(KIND, ListFreshness.Current).catch(() => undefined);
-  await world.clock.advance(100);
-  const list = await world.run(
-    (world.stores[1] as RelayedObjectStore).list(KIND, ListFreshness.Current),
+test('a router without a connection to the store follows it through another router', async (t) => {
+  const { harness, position } = await followedHarness();
+  harness.store.unreachableFor.add('node-1');
+  (harness.stores[0] as RelayedObjectStore)
+    .list(KIND, ListFreshness.Current)
+    .catch(() => undefined);
+  await harness.clock.advance(100);
+  const list = await harness.run(
+    (harness.stores[1] as RelayedObjectStore).list(KIND, ListFreshness.Current),
   );
   t.like(list, { position, objects: [{ name: 'first' }] });
   const proven = list instanceof Error ? undefined : list.proven;
-  t.true(proofAgeMs(world, proven) <= 2 * SETTINGS.watchMs + 50);
+  t.true(proofAgeMs(harness, proven) <= 2 * SETTINGS.watchMs + 50);
 });
 
-test('no proof is younger than the store said, whatever befalls the way', async (t) => {
+test('no proof is later than the store state that it proves, despite freezes and partitions', async (t) => {
   const step = fc.record({
     change: fc.boolean(),
     freezeReaderMs: fc.constantFrom(0, 0, 0, 500, 2_000),
@@ -187,29 +189,29 @@
     waitMs: fc.constantFrom(300, 1_500),
   });
   const property = fc.asyncProperty(fc.array(step, { maxLength: 12 }), async (steps) => {
-    const { world, position } = await followedWorld();
-    const follower = world.stores[1] as RelayedObjectStore;
-    const reader = world.hosts[0] as HostClock;
-    /** When each revision was followed by a newer one. */
+    const { harness, position } = await followedHarness();
+    const follower = harness.stores[1] as RelayedObjectStore;
+    const reader = harness.hosts[0] as HostClock;
+    /** Times at which each revision was replaced by a newer one. */
     const changedMs: number[] = [];
     let at = position;
     for (const { change, freezeReaderMs, cutMs, waitMs } of steps) {
       if (freezeReaderMs > 0) {
         reader.pause();
-        world.clock.setTimer(freezeReaderMs, () => reader.unpause());
+        harness.clock.setTimer(freezeReaderMs, () => reader.unpause());
       }
       if (cutMs > 0) {
-        world.store.unreachableFor.add('node-0');
-        world.clock.setTimer(cutMs, () => world.store.unreachableFor.delete('node-0'));
+        harness.store.unreachableFor.add('node-0');
+        harness.clock.setTimer(cutMs, () => harness.store.unreachableFor.delete('node-0'));
       }
       if (change) {
-        world.store.put(KIND, 'changing', { step: changedMs.length });
-        changedMs.push(world.clock.now());
+        harness.store.put(KIND, 'changing', { step: changedMs.length });
+        changedMs.push(harness.clock.now());
       }
-      const result = await world.run(follower.watch(KIND, at, waitMs));
+      const result = await harness.run(follower.watch(KIND, at, waitMs));
       if (result instanceof Error || result.kind !== 'events') continue;
       at = result.position;
-      const provenMs = world.clock.now() - world.clock.elapsed().since(result.proven);
+      const provenMs = harness.clock.now() - harness.clock.elapsed().since(result.proven);
       const next = changedMs[at.revision - position.revision];
       t.true(next === undefined || provenMs <= next, `position ${String(at)} proved after its end`);
     }
--- a/test/gateway/suspended-machine.test.ts
+++ b/test/gateway/suspended-machine.test.ts
@@ -1,4 +1,4 @@
-/** What a router may still rely on when its machine wakes from a suspension that its steady clock missed. */
+/** Guards against the use of expired state after a suspension that the monotonic clock missed. */
 import test from 'ava';
 import fc from 'fast-check';
 import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
@@ -22,36 +22,36 @@
 const SUSPENDED_MS = 7_000;
 const CUT_MS = 9_000;
 const GROUP_SETTLED_MS = 4_000;
-/** Routers report to each other at least this often. */
+/** Longest interval between two reports of a router. */
 const REPORT_MS = 750;
 
-/** A key is taken away while a router is suspended; it is asked with that key in the moment it wakes. */
-async function askAsItWakes(mutation: SimulationMutation): Promise<GatewaySimulation> {
-  const world = await GatewaySimulation.create(33, mutation);
-  world.cutFromStore(0, CUT_MS);
-  world.suspendRouter(0, SUSPENDED_MS);
-  world.toggleKey('tenant-1', 0);
-  await world.clock.advance(SUSPENDED_MS + 1);
-  world.request(0, 'plain-safe', 'tenant-1', 0);
-  await world.settle();
-  return world;
+/** Revokes a key while a router is suspended, and sends a request with it on resuming. */
+async function requestOnResume(mutation: SimulationMutation): Promise<GatewaySimulation> {
+  const simulation = await GatewaySimulation.create(33, mutation);
+  simulation.cutFromStore(0, CUT_MS);
+  simulation.suspendRouter(0, SUSPENDED_MS);
+  simulation.toggleKey('tenant-1', 0);
+  await simulation.clock.advance(SUSPENDED_MS + 1);
+  simulation.request(0, 'plain-safe', 'tenant-1', 0);
+  await simulation.settle();
+  return simulation;
 }
 
-test('a key that was taken away meanwhile is not honoured on waking', async (t) => {
-  const world = await askAsItWakes({});
-  t.deepEqual(findBreaches(world), []);
-  t.like(world.requests[0]?.reply.own, { status: 503, reason: 'configuration-unproven' });
+test('a key revoked during a suspension is rejected after resuming', async (t) => {
+  const simulation = await requestOnResume({});
+  t.deepEqual(findBreaches(simulation), []);
+  t.like(simulation.requests[0]?.reply.own, { status: 503, reason: 'configuration-unproven' });
 });
 
-test('ages by the steady clock would honour it', async (t) => {
-  const world = await askAsItWakes({ countsSuspensions: false });
+test('a router that measures ages by the monotonic clock accepts the revoked key', async (t) => {
+  const simulation = await requestOnResume({ countsSuspensions: false });
   t.deepEqual(
-    findBreaches(world).map(({ rule }) => rule),
+    findBreaches(simulation).map(({ rule }) => rule),
     ['key-removed'],
   );
 });
 
-test('a holder of the lease gives no order on waking, a standby does not take over early', async (t) => {
+test('a lease holder renews before acting after resuming, and a standby does not take over early', async (t) => {
   const clock = new VirtualClock();
   const host = new HostClock(clock);
   const time = () => ({ nowMs: host.now(), elapsed: host.elapsed() });
@@ -69,7 +69,7 @@
   t.is(standby.next(time()), LeaseStep.Wait);
 });
 
-test('timers of a suspended machine go on where they stood', async (t) => {
+test('timers of a suspended machine continue with their remaining time', async (t) => {
   const clock = new VirtualClock();
   const host = new HostClock(clock);
   let firedMs: number | undefined;
@@ -104,7 +104,7 @@
   }),
 );
 
-test('for jumps of the shortest length and more, at least the time that passed is counted, and it never goes back', (t) => {
+test('elapsed time is monotonic and never less than the real time for jumps of the minimum length or more', (t) => {
   const property = fc.property(fc.array(anyEvent, { maxLength: 40 }), (events) => {
     let steadyMs = 0;
     let wallMs = 1_000_000;
@@ -125,7 +125,7 @@
   fc.assert(property, { seed: 9, numRuns: 500 });
 });
 
-test('steps of the time of day alone count as time that may have passed only where they go forward', (t) => {
+test('only forward steps of the wall clock count as elapsed time', (t) => {
   let wallMs = 50_000;
   const jumps: number[] = [];
   const meter = new SuspensionMeter({ steadyMs: () => 10, wallMs: () => wallMs }, ({ aheadMs }) =>
@@ -140,37 +140,37 @@
   t.deepEqual(jumps, [-3_000, 3_000]);
 });
 
-test('a router that wakes names one that died meanwhile no longer than others name a dead one', async (t) => {
-  const world = await GroupHarness.create(8, 22);
-  await world.clock.advance(GROUP_SETTLED_MS);
-  const suspended = world.routers[0]?.host;
+test('a resumed router drops a router that died meanwhile within the heartbeat timeout', async (t) => {
+  const harness = await GroupHarness.create(8, 22);
+  await harness.clock.advance(GROUP_SETTLED_MS);
+  const suspended = harness.routers[0]?.host;
   suspended?.suspend();
-  await world.clock.advance(1_000);
-  world.powerOff(3);
-  await world.clock.advance(SUSPENDED_MS);
+  await harness.clock.advance(1_000);
+  harness.powerOff(3);
+  await harness.clock.advance(SUSPENDED_MS);
   suspended?.wake();
-  await world.clock.advance(HEARTBEAT_TIMEOUT_MS + REPORT_MS);
-  t.is(world.longestNamedOffMs(), 0);
+  await harness.clock.advance(HEARTBEAT_TIMEOUT_MS + REPORT_MS);
+  t.is(harness.longestStaleEntryMs(), 0);
 });
 
-test('an engine that drained while a router was suspended gets no work from it once its list is read', async (t) => {
-  const world = await GatewaySimulation.create(34);
-  world.suspendRouter(0, SUSPENDED_MS);
-  await world.clock.advance(100);
-  const draining = world.engine(0);
-  world.fleet.drain(0);
-  await world.clock.advance(SUSPENDED_MS);
+test('a router sends no work to an engine that drained during its suspension once the list is read', async (t) => {
+  const simulation = await GatewaySimulation.create(34);
+  simulation.suspendRouter(0, SUSPENDED_MS);
+  await simulation.clock.advance(100);
+  const draining = simulation.engine(0);
+  simulation.fleet.drain(0);
+  await simulation.clock.advance(SUSPENDED_MS);
   for (let turn = 0; turn < 20; turn += 1) {
-    world.request(0, 'stream-once', 'tenant-1', 0);
-    await world.clock.advance(20);
+    simulation.request(0, 'stream-once', 'tenant-1', 0);
+    await simulation.clock.advance(20);
   }
-  const late = world.observations.runs.filter(({ engineId }) => engineId === draining.id);
+  const late = simulation.observations.runs.filter(({ engineId }) => engineId === draining.id);
   t.deepEqual(late, []);
-  await world.settle();
-  t.deepEqual(findBreaches(world), []);
+  await simulation.settle();
+  t.deepEqual(findBreaches(simulation), []);
 });
 
-test('a window of the retry budget reaches further back after a suspension, never less far', async (t) => {
+test('a suspension extends the window of the retry budget and never shortens it', async (t) => {
   const clock = new VirtualClock();
   const host = new HostClock(clock);
   const budget = new SharedRetryBudget({ ratio: 0, windowMs: 10_000, allowance: 10 });
--- a/test/gateway/working-members.test.ts
+++ b/test/gateway/working-members.test.ts
@@ -1,4 +1,4 @@
-/** The list of working members is built anew just when it has changed. */
+/** Guards against a cached list of working members that is outdated or rebuilt without a change. */
 import test from 'ava';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { type MemberUpdate, MemberStatus, Membership } from '../../src/state/membership.js';
@@ -22,7 +22,7 @@
   return membership.working().map(({ nodeId }) => nodeId);
 }
 
-test('the list stays the same until a member changes, and then shows the change', (t) => {
+test('the same list is returned until a member changes, then an updated one', (t) => {
   const membership = new Membership(identity(0), 1, [], new SeededRandom(1));
   membership.mergeAll([update(1, MemberStatus.Alive), update(2, MemberStatus.Alive)], 0);
   const before = membership.working();
@@ -37,7 +37,7 @@
   t.is(membership.knownCount, 3);
 });
 
-test('the list shows the own statement as it is now', (t) => {
+test('the list contains the current update of the own member', (t) => {
   const membership = new Membership(identity(0), 1, [], new SeededRandom(1));
   t.is(membership.working()[0], membership.own);
   membership.mergeAll([update(0, MemberStatus.Dead, 5)], 0);
@@ -47,7 +47,7 @@
   t.deepEqual(idsOf(membership), []);
 });
 
-test('members that are forgotten are not counted', (t) => {
+test('forgotten members are not counted', (t) => {
   const membership = new Membership(identity(0), 1, [], new SeededRandom(1));
   membership.mergeAll([update(1, MemberStatus.Alive)], 0);
   membership.mergeAll([update(1, MemberStatus.Dead)], 0);
--- a/test/helpers/counting-datagrams.ts
+++ b/test/helpers/counting-datagrams.ts
@@ -1,7 +1,7 @@
-/** Datagrams of a transport, counted as they are sent. */
+/** Counts the datagrams that a transport sends. */
 import type { DatagramTransport } from '../../src/transport/datagram-transport.js';
 
-/** The same transport; `noteSent` is called once a datagram. */
+/** Wraps a transport and calls `noteSent` for each datagram sent. */
 export function countingDatagrams(
   transport: DatagramTransport,
   noteSent: () => void,
--- a/test/helpers/group-harness.ts
+++ b/test/helpers/group-harness.ts
@@ -1,4 +1,4 @@
-/** A group of routers with their directories, on simulated hosts that can lose their power. */
+/** A group of routers with their directories, on simulated hosts that can lose power. */
 import { Directory } from '../../src/coordination/gateway/directory.js';
 import { GatewayStatistics } from '../../src/coordination/gateway/gateway-statistics.js';
 import { GroupEventTarget } from '../../src/coordination/gateway/group-event-target.js';
@@ -13,12 +13,12 @@
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 
-/** Routers start within this time of each other, as machines of one deployment do. */
+/** All routers start within this time. */
 const START_SPREAD_MS = 300;
 const ZONES = 4;
 const SEEDS = 3;
 
-/** A router of the group; `host` is its present process. */
+/** A router of the group; `host` is its current process. */
 export interface GroupRouter {
   readonly name: string;
   host: HostClock;
@@ -26,13 +26,13 @@
   directory: Directory;
 }
 
-/** The group. */
+/** Runs a group of routers on a simulated network. */
 export class GroupHarness {
   readonly clock = new VirtualClock();
   readonly network: SimulatedNetwork;
   readonly routers: GroupRouter[] = [];
-  /** When a router lost its power, by the address that the directory names. */
-  private readonly offSinceMs = new Map<string, number>();
+  /** Time of a router's loss of power, by its address in the directory. */
+  private readonly poweredOffAtMs = new Map<string, number>();
   private readonly sockets: SimulatedSockets;
   private starts = 0;
 
@@ -42,24 +42,24 @@
   }
 
   static async create(routers: number, seed: number): Promise<GroupHarness> {
-    const world = new GroupHarness(seed);
+    const harness = new GroupHarness(seed);
     for (let index = 0; index < routers; index += 1) {
-      await world.start(index);
-      await world.clock.advance(Math.floor(START_SPREAD_MS / routers));
+      await harness.start(index);
+      await harness.clock.advance(Math.floor(START_SPREAD_MS / routers));
     }
-    return world;
+    return harness;
   }
 
   get running(): GroupRouter[] {
     return this.routers.filter(({ host }) => host.isRunning);
   }
 
-  /** The process of a router ends without a word, and nothing answers at its address. */
+  /** Ends the process of a router without notice; its address becomes unreachable. */
   powerOff(index: number): void {
     const router = this.routers[index] as GroupRouter;
     router.host.stop();
     this.sockets.forget(router.name);
-    this.offSinceMs.set(addressOf(router.name), this.clock.now());
+    this.poweredOffAtMs.set(addressOf(router.name), this.clock.now());
   }
 
   /** Starts a router, for the first time or again. */
@@ -68,7 +68,7 @@
     this.starts += 1;
     const host = new HostClock(this.clock);
     this.network.attach(name, host);
-    this.offSinceMs.delete(addressOf(name));
+    this.poweredOffAtMs.delete(addressOf(name));
     const random = new SeededRandom(this.seed * 1_000 + this.starts);
     const events = new GroupEventTarget();
     const group = await GroupMembership.open(
@@ -86,14 +86,14 @@
     this.routers[index] = { name, host, group, directory };
   }
 
-  /** How long the longest dead of the routers that any directory names now has been off; 0: none is. */
-  longestNamedOffMs(): number {
+  /** Longest time since the loss of power among the routers that any directory returns, or 0. */
+  longestStaleEntryMs(): number {
     const now = this.clock.now();
     let longestMs = 0;
     for (const { directory, group } of this.running) {
-      const places = zoneNames().map((zone) => ({ zone, region: group.own.region }));
-      const addresses = places.flatMap((place) => directory.answer(place, true));
-      const offMs = addresses.map((address) => now - (this.offSinceMs.get(address) ?? now));
+      const locations = zoneNames().map((zone) => ({ zone, region: group.own.region }));
+      const addresses = locations.flatMap((location) => directory.resolve(location, true));
+      const offMs = addresses.map((address) => now - (this.poweredOffAtMs.get(address) ?? now));
       longestMs = Math.max(longestMs, ...offMs);
     }
     return longestMs;
--- a/test/helpers/relay-harness.ts
+++ b/test/helpers/relay-harness.ts
@@ -1,4 +1,4 @@
-/** Routers before one simulated store, each with both ends of the relay. */
+/** Routers with one simulated store, each with a client and a server of the relay. */
 import { ObjectMirrors } from '../../src/coordination/gateway/store-relay/object-mirrors.js';
 import { RelayClient } from '../../src/coordination/gateway/store-relay/relay-client.js';
 import { RelayServer } from '../../src/coordination/gateway/store-relay/relay-server.js';
@@ -29,7 +29,7 @@
   freshMs: 1_400,
 };
 
-/** A router of one zone. */
+/** Update of a working router; all routers are in the same zone. */
 export function member(nodeId: string): MemberUpdate {
   return {
     nodeId,
@@ -43,7 +43,7 @@
   };
 }
 
-/** Routers before one store, each with both ends of the relay. `node-0` is the reader. */
+/** Routers with one store. With the default settings `node-0` is the only reader. */
 export class RelayHarness {
   readonly clock = new VirtualClock();
   readonly network = new SimulatedNetwork(this.clock, new SeededRandom(5));
@@ -51,19 +51,19 @@
   readonly store = new SimulatedObjectStore(this.clock);
   readonly hosts: HostClock[] = [];
   readonly stores: RelayedObjectStore[] = [];
-  /** Calls that reached the store, by router. */
+  /** Watch calls to the store, by router. */
   readonly calls: number[] = [];
 
   private constructor(private readonly settings: RelaySettings) {}
 
   static async create(routers: number, settings = SETTINGS): Promise<RelayHarness> {
-    const world = new RelayHarness(settings);
+    const harness = new RelayHarness(settings);
     const working = Array.from({ length: routers }, (_, index) => member(`node-${index}`));
-    for (const [index, own] of working.entries()) await world.addRouter(index, own, working);
-    return world;
+    for (const [index, own] of working.entries()) await harness.addRouter(index, own, working);
+    return harness;
   }
 
-  /** Runs a call to its end, however long it takes. */
+  /** Advances the clock until a call ends; returns an error after `limitMs`. */
   async run<Result>(call: Promise<Result>, limitMs = 10_000): Promise<Result | Error> {
     let outcome: Result | Error | undefined;
     call.then(
@@ -73,7 +73,7 @@
     for (let spentMs = 0; outcome === undefined && spentMs < limitMs; spentMs += 10) {
       await this.clock.advance(10);
     }
-    return outcome ?? new Error('never ended');
+    return outcome ?? new Error('call did not end within the limit');
   }
 
   private async addRouter(
--- a/test/helpers/silent-follower-events.ts
+++ b/test/helpers/silent-follower-events.ts
@@ -1,7 +1,7 @@
-/** Events of a follower of the store that nobody listens to, but for those that a test needs. */
+/** Events of a store follower that are ignored except for those that a test handles. */
 import type { FollowerEvents } from '../../src/coordination/gateway/object-follower.js';
 
-/** @param events what the test listens to */
+/** @param events handlers that replace the ones that do nothing */
 export function silentFollowerEvents(events: Partial<FollowerEvents> = {}): FollowerEvents {
   return {
     onList: () => undefined,
--- a/test/helpers/silent-group-events.ts
+++ b/test/helpers/silent-group-events.ts
@@ -1,18 +1,18 @@
-/** Events of a group for tests that look at few of them. */
+/** Group events that are ignored except for those that a test handles. */
 import type { GroupEvents } from '../../src/coordination/gateway/group-reports.js';
 
-/** Tells nothing and takes nothing, but for what is given. */
+/** @param events members that replace the empty announcements and the handlers that do nothing */
 export function silentGroupEvents(events: Partial<GroupEvents> = {}): GroupEvents {
   return {
     weightsNews: () => [],
     onWeightsNews: () => undefined,
-    versionNotices: () => [],
-    onVersionNotice: () => undefined,
+    versionAnnouncements: () => [],
+    onVersionAnnouncement: () => undefined,
     heldLease: () => undefined,
     onHeldLease: () => undefined,
     hasCrashNews: false,
-    limitNotices: () => [],
-    onLimitNotice: () => undefined,
+    limitAnnouncements: () => [],
+    onLimitAnnouncement: () => undefined,
     takeCrashNews: () => ({ crashes: [], quarantine: [] }),
     onCrashNews: () => false,
     ...events,
