--- a/src/coordination/gateway/store-relay/peer-queries.ts
+++ b/src/coordination/gateway/store-relay/peer-queries.ts
@@ -23,10 +23,10 @@
 }
 
 export class PeerQueries {
-  /** @param freshMs maximum age of a recent proof, in milliseconds */
+  /** @param maximumProofAgeMs maximum age of a proof that counts as recent */
   constructor(
     private readonly client: RelayClient,
-    private readonly freshMs: number,
+    private readonly maximumProofAgeMs: number,
     private readonly clock: Clock,
   ) {}
 
@@ -48,7 +48,7 @@
     if (response.position.isBefore(position))
       throw storeUnavailable(`${peer.nodeId} is behind this router`);
     const { proofAgeMs, events } = response;
-    const isRecent = proofAgeMs <= this.freshMs;
+    const isRecent = proofAgeMs <= this.maximumProofAgeMs;
     if (!response.isKnown) return { result: { kind: 'history-gone' }, proofAgeMs, isRecent };
     // Counted from when the query was sent, so that network delay never makes a proof seem newer.
     const proven = queriedAt.plus(response.heldMs - proofAgeMs);
@@ -64,7 +64,7 @@
   async recentList(peer: MemberUpdate, kind: string): Promise<ProvenList | undefined> {
     const queriedAt = this.clock.elapsed();
     const response = await this.client.query(peer.gossipAddress, kind, undefined, 0);
-    if (!response.isKnown || response.proofAgeMs > this.freshMs) return undefined;
+    if (!response.isKnown || response.proofAgeMs > this.maximumProofAgeMs) return undefined;
     if (response.position.era === StoreEra.Unknown) return undefined;
     return toProvenList(response, queriedAt);
   }
--- a/src/coordination/gateway/store-relay/relay-server.ts
+++ b/src/coordination/gateway/store-relay/relay-server.ts
@@ -36,13 +36,13 @@
   private readonly held = new Map<string, Set<HeldQuery>>();
   private readonly batchedKinds = new Set<string>();
   private readonly connections = new Set<FrameConnection>();
-  private readonly changes = new ResponseEncoder();
+  private readonly encoder = new ResponseEncoder();
   private isStopped = false;
 
-  /** @param freshMs with a proof older than this, queries are answered without being held */
+  /** @param maximumProofAgeMs with an older proof, queries are answered without being held */
   constructor(
     private readonly mirrors: ObjectMirrors,
-    private readonly freshMs: number,
+    private readonly maximumProofAgeMs: number,
     private readonly clock: Clock,
   ) {}
 
@@ -95,7 +95,7 @@
     const mirror = this.mirrors.of(kind);
     const now = this.clock.elapsed();
     const remainingMs = waitMs - now.since(held.receivedAt);
-    const untilOutdatedMs = this.freshMs - mirror.proofAgeMs(now);
+    const untilOutdatedMs = this.maximumProofAgeMs - mirror.proofAgeMs(now);
     const limitMs = held.isAwaitingProof ? MAXIMUM_HOLD_MS : untilOutdatedMs;
     const holdMs = Math.min(remainingMs, MAXIMUM_HOLD_MS, limitMs);
     if (this.isAnswerable(held, mirror) || holdMs <= 0) {
@@ -117,7 +117,7 @@
     const { kind, waitMs } = held.query;
     const now = this.clock.elapsed();
     const remainingMs = waitMs - now.since(held.receivedAt);
-    const isFresh = this.mirrors.of(kind).proofAgeMs(now) < this.freshMs;
+    const isFresh = this.mirrors.of(kind).proofAgeMs(now) < this.maximumProofAgeMs;
     if (remainingMs > 1 && isFresh) this.hold({ ...held, timer: undefined });
     else this.answerWithChanges(held);
   }
@@ -155,8 +155,8 @@
   ): void {
     const { number, kind, position: from, acceptsDeflated } = query;
     const { position } = mirror;
-    const span = { kind, from, to: position };
-    const changes = this.changes.encode(span, events ?? [], acceptsDeflated);
+    const range = { kind, from, to: position };
+    const changes = this.encoder.encode(range, events ?? [], acceptsDeflated);
     const now = this.clock.elapsed();
     const head = {
       number,
