--- a/test/helpers/batching-engine.ts
+++ b/test/helpers/batching-engine.ts
@@ -57,8 +57,8 @@
   ) {}
 
   /** Number of cached tokens for an affinity key. */
-  cachedTokens(subject: string): number {
-    return this.cachedPrefixes.get(subject) ?? 0;
+  cachedTokens(affinityKey: string): number {
+    return this.cachedPrefixes.get(affinityKey) ?? 0;
   }
 
   send(stream: BatchedStream): void {
@@ -103,14 +103,14 @@
 
   /** Prefills one chunk, earliest admitted prompts first; returns the number of tokens. */
   private read(): number {
-    let left = this.profile.pieceTokens;
+    let remainingTokens = this.profile.pieceTokens;
     for (const each of this.running) {
-      const piece = Math.min(left, each.unreadTokens);
-      each.unreadTokens -= piece;
-      left -= piece;
-      if (left === 0) break;
+      const chunk = Math.min(remainingTokens, each.unreadTokens);
+      each.unreadTokens -= chunk;
+      remainingTokens -= chunk;
+      if (remainingTokens === 0) break;
     }
-    const read = this.profile.pieceTokens - left;
+    const read = this.profile.pieceTokens - remainingTokens;
     this.readTokens += read;
     return read;
   }
