--- a/src/state/routing/configuration.ts
+++ b/src/state/routing/configuration.ts
@@ -1,4 +1,4 @@
-/** The routing configuration in the product's own words, as one immutable value. */
+/** The routing configuration as an immutable value, independent of its stored form. */
 import type { TenantLimit } from './quota/tenant-limit.js';
 
 /** One destination of a route and its share of the route's requests. */
@@ -7,40 +7,40 @@
   readonly weight: number;
 }
 
-/** What an operator has set for requests of one host and path prefix. */
+/** Settings for the requests of one host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly targets: readonly RouteTarget[];
-  /** Whether a request may run more than once: safe ones and resumable streams. */
+  /** Whether a request may run more than once, as safe requests and resumable streams may. */
   readonly isRepeatable: boolean;
   readonly isStreaming: boolean;
   /** Whether a broken stream may continue on another engine. */
   readonly isResumable: boolean;
   readonly timeoutMs: number;
   readonly objectiveMs: number;
-  /** 0 is the most urgent. */
+  /** 0 is the highest. */
   readonly priority: number;
-  /** Engines to which one client attempt may be sent. */
+  /** Maximum number of engines that one client request is sent to. */
   readonly maximumAttempts: number;
   readonly isPublic: boolean;
 }
 
-/** Limits of one kind of model engine. */
+/** Limits of an engine type. */
 export interface EngineProfile {
   readonly slots: number;
   readonly cacheCapacityTokens: number;
   readonly cacheTokenBytes: number;
   readonly linkMbps: number;
-  /** Calls for cache events that one engine holds at once, from all routers. */
+  /** Concurrent cache event calls that one engine accepts from all routers together. */
   readonly maximumEventCalls: number;
 }
 
-/** A store of kept KV cache. */
+/** A store for KV cache entries. */
 export interface CacheStore {
-  /** HOST:PORT. */
+  /** As HOST:PORT. */
   readonly address: string;
   readonly zone: string;
   readonly capacityTokens: number;
@@ -51,7 +51,7 @@
 /** A group of engines that serve the same requests, or a cache store. */
 export interface Service {
   readonly name: string;
-  /** Connections an engine accepts from all routers together. */
+  /** Connections that one engine accepts from all routers together. */
   readonly maximumConnections: number;
   readonly engine: EngineProfile | undefined;
   readonly cacheStore: CacheStore | undefined;
@@ -65,11 +65,11 @@
   readonly priority: number | undefined;
   /** Whether cached prompts are shared with no other tenant. */
   readonly isIsolated: boolean;
-  /** What the tenant may use over all routers; undefined where that is not limited. */
+  /** Limit over all routers together; undefined for unlimited use. */
   readonly limit?: TenantLimit | undefined;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on incoming requests. */
 export interface IngressLimits {
   readonly maximumHeaderBytes: number;
   readonly maximumBodyBytes: number;
@@ -77,13 +77,13 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A whole configuration. */
+/** A complete configuration. */
 export interface RoutingConfiguration {
-  /** Rises with every change. */
+  /** Increases with every change. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
-  /** Undefined where requests need no key. */
+  /** Undefined if requests need no key. */
   readonly tenants: readonly Tenant[] | undefined;
   readonly limits: IngressLimits;
 }
--- a/src/state/routing/coordinator-succession.ts
+++ b/src/state/routing/coordinator-succession.ts
@@ -1,29 +1,31 @@
 /**
- * Which router gives orders for new weights. The holder of the lease goes on; the others stand by, each
- * a little later than the one before it, and only while the holder is silent. That only spares calls and
- * quarrels: the lease itself keeps two routers from giving orders at once. Pure.
+ * Decides when a router on standby may try to become the coordinator. The routers on standby are
+ * ordered and each waits a little longer than the one before it, which avoids needless calls and
+ * write conflicts. The lease alone guarantees that no two routers send load commands at once. Pure.
  */
 
 import { StorePosition } from '../../runtime/store-position.js';
 
-/** How much later the next in line acts, if nothing happens. */
+/** Additional delay for each router that comes before this one. */
 const STANDBY_DELAY_MS = 1_000;
-/** A router whose orders were heard of within this time is left to go on. */
-const INCUMBENT_PATIENCE_MS = 1_500;
+/** A router that announced a load command within this time counts as the active coordinator. */
+const INCUMBENT_TIMEOUT_MS = 1_500;
 
-/** The line of routers, as one of them sees it. */
+/** The order of succession, as one router computes it. */
 export class CoordinatorSuccession {
-  /** When another router last told of an order it gave. */
-  private otherActedMs = -Infinity;
-  /** The router that told of the newest write to the lease. */
+  /** When another router last announced a load command. */
+  private otherCommandMs = -Infinity;
+  /** The router that reported the newest write to the lease. */
   private incumbent: string | undefined;
   private incumbentPosition = StorePosition.start;
 
   /**
    * @param own identifier of this router
-   * @param respondingRouters identifiers of the routers that were heard lately, this one included, in the
-   *   order in which they stand by. Routers that hear few of their group begin together; the lease decides.
-   * @param isAvailable whether nothing speaks against a router that may not have been heard lately
+   * @param respondingRouters identifiers of the responsive routers, this one included, in the order
+   *   of succession. Routers that reach only a part of their group may act at the same time; the
+   *   lease decides.
+   * @param isAvailable whether a router is not known to be down, even if it is not among the
+   *   responsive ones
    */
   constructor(
     private readonly own: string,
@@ -31,25 +33,25 @@
     private readonly isAvailable: (router: string) => boolean,
   ) {}
 
-  /** Another router told of an order it gave. */
+  /** Records that another router announced a load command. */
   noteOrder(nowMs: number): void {
-    this.otherActedMs = nowMs;
+    this.otherCommandMs = nowMs;
   }
 
-  /** Another router reported that it holds the lease, and the position of its last write. */
+  /** Records a router that reported holding the lease, and the position of its last write. */
   noteHolder(router: string, position: StorePosition): void {
     if (position.isBefore(this.incumbentPosition)) return;
     this.incumbent = router;
     this.incumbentPosition = position;
   }
 
-  /** When this router, which does not hold the lease, may act on work that is there since a moment. */
+  /** When this router may act, without the lease, on work pending since `workSinceMs`. */
   beginsMs(workSinceMs: number): number {
-    const idleSinceMs = Math.max(workSinceMs, this.otherActedMs + INCUMBENT_PATIENCE_MS);
+    const idleSinceMs = Math.max(workSinceMs, this.otherCommandMs + INCUMBENT_TIMEOUT_MS);
     return idleSinceMs + this.routersBefore * STANDBY_DELAY_MS;
   }
 
-  /** Routers that come before this one: the holder of the lease, then the order of all. */
+  /** Number of routers before this one: the lease holder and those earlier in the order. */
   get routersBefore(): number {
     const routers = this.respondingRouters();
     const before = new Set(routers.slice(0, Math.max(0, routers.indexOf(this.own))));
--- a/src/state/routing/load-commands.ts
+++ b/src/state/routing/load-commands.ts
@@ -1,107 +1,108 @@
-/** The orders for new weights that a router has given and has not forgotten. Pure. */
+/** Tracks the load commands that a router has sent recently. Pure. */
 import type { WeightLoadAnnouncement } from './weight-load-announcements.js';
 
-/** One order to one engine. */
+/** A load command to one engine. */
 export interface LoadCommand {
   readonly model: string;
   readonly version: number;
-  readonly givenMs: number;
-  /** When the engine was seen to have the weights; undefined before. */
-  doneMs: number | undefined;
-  /** When the news of it need not be told any more. */
-  forgetMs: number;
+  readonly sentMs: number;
+  /** When the engine was observed to have the weights; undefined before. */
+  completedMs: number | undefined;
+  /** When the command is dropped and no longer announced. */
+  expiresMs: number;
 }
 
-/** An order that shows no effect for this long may be given again. */
-const ORDER_PATIENCE_MS = 4_000;
-/** An engine that has not taken an order is given the next after this; the pause doubles each time. */
-const FIRST_RETRY_PAUSE_MS = 400;
-const LONGEST_RETRY_PAUSE_MS = 3_200;
-const NEWS_LIFETIME_MS = 2_500;
-/** A load that lasts is told anew after this. */
-const RENEWAL_PERIOD_MS = 1_000;
-/** No load is done sooner. */
-const SHORTEST_LOAD_MS = 400;
-/** An engine is asked first after this share of the fastest load seen. */
+/** A command without an effect within this time may be sent again. */
+const COMMAND_TIMEOUT_MS = 4_000;
+/** Delay after the first refusal of an engine; doubles with each further one. */
+const INITIAL_RETRY_DELAY_MS = 400;
+const MAXIMUM_RETRY_DELAY_MS = 3_200;
+const ANNOUNCEMENT_LIFETIME_MS = 2_500;
+/** Interval at which a load in progress is announced again. */
+const REANNOUNCEMENT_PERIOD_MS = 1_000;
+/** Lower bound for the duration of a load. */
+const MINIMUM_LOAD_MS = 400;
+/** An engine is polled first after this share of the fastest load observed. */
 const FIRST_POLL_SHARE = 0.9;
 
-/** Orders in a row that an engine has not taken. */
+/** Consecutive commands that an engine has refused. */
 interface Refusals {
   count: number;
   untilMs: number;
 }
 
-/** Orders by incarnation of the engine. */
+/** Load commands, by incarnation of the engine. */
 export class LoadCommands {
-  private readonly orders = new Map<string, LoadCommand>();
+  private readonly commands = new Map<string, LoadCommand>();
   private readonly refusals = new Map<string, Refusals>();
   private fastestLoadMs = 0;
 
+  /** Adds a command that is sent to an engine. */
   open(engineId: string, model: string, version: number, nowMs: number): void {
-    const forgetMs = nowMs + ORDER_PATIENCE_MS;
-    const state = { doneMs: undefined, forgetMs };
-    this.orders.set(engineId, { model, version, givenMs: nowMs, ...state });
+    const expiresMs = nowMs + COMMAND_TIMEOUT_MS;
+    const state = { completedMs: undefined, expiresMs };
+    this.commands.set(engineId, { model, version, sentMs: nowMs, ...state });
   }
 
-  /** Whether an engine loads by an order of this router; undefined where it has none. */
+  /** Whether a command to an engine is in progress; undefined without a command. */
   isLoading(engineId: string): boolean | undefined {
-    const order = this.orders.get(engineId);
-    return order && order.doneMs === undefined;
+    const command = this.commands.get(engineId);
+    return command && command.completedMs === undefined;
   }
 
-  /** The engine did not take the order; it is given the next after a pause. */
+  /** Drops a command that the engine refused and delays the next one. */
   giveUp(engineId: string, nowMs: number): void {
-    this.orders.delete(engineId);
+    this.commands.delete(engineId);
     const count = (this.refusals.get(engineId)?.count ?? 0) + 1;
-    const pauseMs = Math.min(LONGEST_RETRY_PAUSE_MS, FIRST_RETRY_PAUSE_MS * 2 ** (count - 1));
-    this.refusals.set(engineId, { count, untilMs: nowMs + pauseMs });
+    const delayMs = Math.min(MAXIMUM_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** (count - 1));
+    this.refusals.set(engineId, { count, untilMs: nowMs + delayMs });
   }
 
-  /** Whether an engine is left alone because it did not take the last order. */
+  /** Whether commands to an engine are delayed because it refused the last one. */
   isPaused(engineId: string, nowMs: number): boolean {
     return nowMs < (this.refusals.get(engineId)?.untilMs ?? -Infinity);
   }
 
-  /** The engine has the weights; answers how long that took, undefined where it was known before. */
+  /** Marks a load as completed and returns its duration; undefined if there is none in progress. */
   finish(engineId: string, nowMs: number): number | undefined {
-    const order = this.orders.get(engineId);
+    const command = this.commands.get(engineId);
     this.refusals.delete(engineId);
-    if (!order || order.doneMs !== undefined) return undefined;
-    order.doneMs = nowMs;
-    order.forgetMs = nowMs + NEWS_LIFETIME_MS;
-    const tookMs = nowMs - order.givenMs;
-    const isFastest = this.fastestLoadMs === 0 || tookMs < this.fastestLoadMs;
-    if (tookMs >= SHORTEST_LOAD_MS && isFastest) this.fastestLoadMs = tookMs;
-    return tookMs;
+    if (!command || command.completedMs !== undefined) return undefined;
+    command.completedMs = nowMs;
+    command.expiresMs = nowMs + ANNOUNCEMENT_LIFETIME_MS;
+    const durationMs = nowMs - command.sentMs;
+    const isFastest = this.fastestLoadMs === 0 || durationMs < this.fastestLoadMs;
+    if (durationMs >= MINIMUM_LOAD_MS && isFastest) this.fastestLoadMs = durationMs;
+    return durationMs;
   }
 
-  /** The engine is gone. */
+  /** Drops the state of an engine that no longer exists. */
   forget(engineId: string): void {
-    this.orders.delete(engineId);
+    this.commands.delete(engineId);
     this.refusals.delete(engineId);
   }
 
-  /** Drops what need not be told any more. */
+  /** Drops commands that are no longer announced. */
   expire(nowMs: number): void {
-    for (const [engineId, order] of this.orders) {
-      if (nowMs >= order.forgetMs) this.orders.delete(engineId);
+    for (const [engineId, command] of this.commands) {
+      if (nowMs >= command.expiresMs) this.commands.delete(engineId);
     }
   }
 
-  /** Orders whose engines may have the weights by now. */
-  toPoll(nowMs: number): [engineId: string, order: LoadCommand][] {
-    const firstPollMs = Math.max(SHORTEST_LOAD_MS, this.fastestLoadMs * FIRST_POLL_SHARE);
-    return [...this.orders].filter(
-      ([, { doneMs, givenMs }]) => doneMs === undefined && nowMs - givenMs >= firstPollMs,
+  /** Commands in progress whose engines may have loaded the weights by now. */
+  toPoll(nowMs: number): [engineId: string, command: LoadCommand][] {
+    const firstPollMs = Math.max(MINIMUM_LOAD_MS, this.fastestLoadMs * FIRST_POLL_SHARE);
+    return [...this.commands].filter(
+      ([, { completedMs, sentMs }]) => completedMs === undefined && nowMs - sentMs >= firstPollMs,
     );
   }
 
-  /** What the other routers should know. */
+  /** Announcements for the other routers. */
   news(nowMs: number): WeightLoadAnnouncement[] {
-    return [...this.orders].map(([engineId, { model, version, givenMs, doneMs }]) => {
-      const foundMs = doneMs ?? nowMs - ((nowMs - givenMs) % RENEWAL_PERIOD_MS);
-      const ageMs = Math.round(nowMs - foundMs);
-      return { engineId, model, version, isLoading: doneMs === undefined, ageMs };
+    return [...this.commands].map(([engineId, { model, version, sentMs, completedMs }]) => {
+      const observedMs = completedMs ?? nowMs - ((nowMs - sentMs) % REANNOUNCEMENT_PERIOD_MS);
+      const ageMs = Math.round(nowMs - observedMs);
+      return { engineId, model, version, isLoading: completedMs === undefined, ageMs };
     });
   }
 }
--- a/src/state/routing/quota/isolated-share.ts
+++ b/src/state/routing/quota/isolated-share.ts
@@ -1,30 +1,27 @@
 /**
- * What a router may let a tenant use while it can't reach the account that is kept for all: its share of
- * the rate, one request at a time. Pure.
+ * Limits the use of a tenant at one router while the quota owner is unreachable: the router grants
+ * only its own share of the rate, so that partitioned routers together stay near the limit. Pure.
  *
- * Load pattern: a part of the routers is cut off from the others and still serves, for as long as its
- * configuration is proven. Each spends no more than its share, so that all of them together stay near the
- * limit; a request larger than the share is served all the same and paid for afterwards, since a share of
- * 1 in 80 would never hold a long prompt.
+ * A request larger than the share is granted and overdraws the share, since the share of one router
+ * in a large group would never cover a long prompt.
  */
 import type { TenantLimit } from './tenant-limit.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** The share holds what accrues in this time, so that a quiet tenant's requests may come in pairs. */
-const HELD_MS = 1_000;
+/** The bucket holds what accrues in this time, which allows small bursts. */
+const BURST_MS = 1_000;
 /**
- * Part of its share that a router spends: the account goes on giving out the whole rate until it notices
- * that routers are missing. With a third of 24 routers cut off from a tenant at 4.6 times its usual, the
- * most used window fell from 1.02 to 0.97 of what is allowed (simulated, three seeds).
+ * Part of its share that a router grants. The rest compensates for the quota owner, which grants
+ * the full rate until it detects that routers are missing.
  */
-const SPENT_SHARE = 0.6;
+const GRANTED_SHARE = 0.6;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** One tenant's share at one router. */
 export class IsolatedShare {
   private readonly bucket: TokenBucket;
 
-  /** @param share this router's part of the group's requests, above 0 to 1 */
+  /** @param share this router's part of the requests of the group, above 0 and up to 1 */
   constructor(
     private limit: TenantLimit,
     private share: number,
@@ -33,7 +30,7 @@
     this.bucket = new TokenBucket(this.rate, this.size, 0, nowMs);
   }
 
-  /** Takes a changed limit or a changed group. */
+  /** Applies a changed limit or share. */
   adapt(limit: TenantLimit, share: number, nowMs: number): void {
     if (limit === this.limit && share === this.share) return;
     this.limit = limit;
@@ -41,14 +38,14 @@
     this.bucket.resize(this.rate, this.size, nowMs);
   }
 
-  /** Takes the charge where the share is not overdrawn. */
+  /** Charges the amount unless the share is overdrawn; returns whether it did. */
   tryTake(amount: number, nowMs: number): boolean {
     if (this.bucket.level(nowMs) < 0) return false;
     this.bucket.take(amount, nowMs);
     return true;
   }
 
-  /** Enters what was used, or gives back where `amount` is negative. */
+  /** Charges the amount unconditionally; a negative amount is a refund. */
   take(amount: number, nowMs: number): void {
     this.bucket.take(amount, nowMs);
   }
@@ -59,10 +56,10 @@
   }
 
   private get rate(): number {
-    return this.limit.ratePerSecond * this.share * SPENT_SHARE;
+    return this.limit.ratePerSecond * this.share * GRANTED_SHARE;
   }
 
   private get size(): number {
-    return (this.rate * HELD_MS) / MILLISECONDS_PER_SECOND;
+    return (this.rate * BURST_MS) / MILLISECONDS_PER_SECOND;
   }
 }
--- a/src/state/routing/quota/quota-owner-ranking.ts
+++ b/src/state/routing/quota/quota-owner-ranking.ts
@@ -1,71 +1,71 @@
 /**
- * Which router keeps a tenant's account: an order of the routers that all agree on (rendezvous hashing),
- * without those that lately failed to answer this one. Pure.
+ * Ranks the routers that may be the quota owner of a tenant. The ranking is the same at all routers
+ * (rendezvous hashing), except that each router excludes those that are unresponsive to it. Pure.
  */
 import { createBoundedCache } from '../../bounded-cache.js';
 import type { HomeRanking } from '../home-ranking.js';
 import { PeerCooldowns } from '../peer-cooldowns.js';
 
-/** Routers that may keep an account, the first one first; a router beyond these is never asked. */
-const RANKED = 3;
+/** Number of routers that may own the account of a tenant. */
+const RANKED_ROUTERS = 3;
 /**
- * A router that did not answer is passed over for this long. Longer than a lost datagram and its repeat, and
- * short against the time after which a dead one leaves the group's view, so that it costs few waits.
+ * Cooldown of a router that did not respond. Longer than the loss of a datagram and its
+ * retransmission, and shorter than the time after which a failed router is removed from the group.
  */
-const SILENT_MS = 2_000;
+const COOLDOWN_MS = 2_000;
 
 /**
- * A router that is heard again is asked again after this long: two accounts of one tenant, each asked by a
- * part of the routers, would grant its rate twice. One that is only slow is not asked at once.
+ * Minimum cooldown, after which a router from which messages are received is queried again. A full
+ * cooldown could leave two accounts of a tenant in use, which together grant its rate twice.
  */
-const SHORTEST_SILENT_MS = 500;
-/** Far more than tenants that are near their limits at any time. */
+const MINIMUM_COOLDOWN_MS = 500;
+/** Above the number of tenants that are near their limits at the same time. */
 const MAXIMUM_RANKINGS = 1_024;
 
-/** What a router hears of the others. */
+/** Liveness of the other routers as observed by this one. */
 export interface RouterLiveness {
-  /** Time since the router at an address was last heard, in milliseconds; Infinity where it never was. */
+  /** Time since the last message from a router, in milliseconds; Infinity if none was received. */
   silenceMs(address: string): number;
-  /** Whether it is cut off or down for certain. */
+  /** Whether a router is known to be down or partitioned. */
   isMissing(address: string): boolean;
 }
 
-/** The order of accountants, by their datagram addresses. */
+/** Rankings of quota owners, by datagram address. */
 export class QuotaOwnerRanking {
-  /** Orders by tenant, for the addresses that they were made of. */
+  /** Rankings by tenant, valid for `rankedAddresses`. */
   private readonly rankings = createBoundedCache<string, readonly string[]>(MAXIMUM_RANKINGS);
   private rankedAddresses: readonly string[] = [];
-  /** Routers that failed to answer, until they are heard again. */
-  private readonly silent = new PeerCooldowns(SILENT_MS);
-  /** Those that failed so lately that it doesn't count yet that they are heard. */
-  private readonly justFailed = new PeerCooldowns(SHORTEST_SILENT_MS);
+  /** Routers that did not respond to a query. */
+  private readonly cooldowns = new PeerCooldowns(COOLDOWN_MS);
+  /** Routers whose messages do not end their cooldown yet. */
+  private readonly minimumCooldowns = new PeerCooldowns(MINIMUM_COOLDOWN_MS);
 
   constructor(
     private readonly homes: HomeRanking,
-    private readonly heard: RouterLiveness,
+    private readonly liveness: RouterLiveness,
   ) {}
 
-  /** Addresses to ask for a tenant, the first one first; empty where none of them answers. */
+  /** Addresses to query for a tenant, in order of preference; empty if none responds. */
   of(tenant: string, addresses: readonly string[], nowMs: number): string[] {
-    return this.ranked(tenant, addresses).filter((address) => !this.isSilent(address, nowMs));
+    return this.ranked(tenant, addresses).filter((address) => !this.isUnresponsive(address, nowMs));
   }
 
-  /** Who keeps the account while all answer. */
+  /** The quota owner while all routers are responsive. */
   first(tenant: string, addresses: readonly string[]): string | undefined {
     return this.ranked(tenant, addresses)[0];
   }
 
   noteSilent(address: string, nowMs: number): void {
-    this.silent.add(address, nowMs);
-    this.justFailed.add(address, nowMs);
+    this.cooldowns.add(address, nowMs);
+    this.minimumCooldowns.add(address, nowMs);
   }
 
   noteAnswer(address: string): void {
-    this.silent.remove(address);
-    this.justFailed.remove(address);
+    this.cooldowns.remove(address);
+    this.minimumCooldowns.remove(address);
   }
 
-  /** The order without regard to silence; kept, since each request of a limited tenant needs it. */
+  /** The ranking regardless of cooldowns; cached, since many requests need it. */
   private ranked(tenant: string, addresses: readonly string[]): readonly string[] {
     if (addresses !== this.rankedAddresses) {
       this.rankedAddresses = addresses;
@@ -73,18 +73,18 @@
     }
     let ranking = this.rankings.get(tenant);
     if (!ranking) {
-      ranking = this.homes.first(tenant, addresses, (address) => address, RANKED);
+      ranking = this.homes.first(tenant, addresses, (address) => address, RANKED_ROUTERS);
       this.rankings.set(tenant, ranking);
     }
     return ranking;
   }
 
-  private isSilent(address: string, nowMs: number): boolean {
-    if (this.heard.isMissing(address)) return true;
-    if (!this.silent.has(address, nowMs)) return false;
-    const heardMs = nowMs - this.heard.silenceMs(address);
-    if (this.justFailed.has(address, heardMs)) return true;
-    this.silent.remove(address);
+  private isUnresponsive(address: string, nowMs: number): boolean {
+    if (this.liveness.isMissing(address)) return true;
+    if (!this.cooldowns.has(address, nowMs)) return false;
+    const lastReceivedMs = nowMs - this.liveness.silenceMs(address);
+    if (this.minimumCooldowns.has(address, lastReceivedMs)) return true;
+    this.cooldowns.remove(address);
     return false;
   }
 }
--- a/src/state/routing/quota/tenant-account.ts
+++ b/src/state/routing/quota/tenant-account.ts
@@ -1,131 +1,130 @@
 /**
- * The account that one router keeps for a tenant on behalf of all: it answers whether a request is within
- * the limit, and says when the limit is so near that all routers have to ask before they serve. Pure.
+ * The token account that the quota owner keeps for a tenant on behalf of all routers. It decides
+ * whether a request is within the limit, and whether routers must query the owner before they serve
+ * the tenant. Pure.
  *
- * Load pattern: one tenant sends several times its usual through all routers at once. While it stays far
- * below its limit nobody waits for the account; what was used is entered afterwards. Near the limit a
- * router asks first, so that what all of them use passes the limit by no more than what was on its way
- * when the account ran low.
+ * Far below the limit routers serve at once and report the use afterwards. Near the limit they
+ * query first, so that the use exceeds the limit at most by the requests in flight when the account
+ * ran low.
  */
 import { type QuotaTolerance, type TenantLimit, excessAllowed } from './tenant-limit.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** A charge that a router asks for or enters. */
+/** A charge that a router requests or reports. */
 export interface ChargeRequest {
-  /** Units; below 0 gives back. */
+  /** Units; negative for a refund. */
   readonly amount: number;
-  /** Whether the request is served already, so that it counts in any case. */
+  /** Whether the request was already served, so that it is charged unconditionally. */
   readonly isTaken: boolean;
 }
 
-/** What the account says. Times in milliseconds. */
+/** The decision of the account. Times in milliseconds. */
 export interface ChargeVerdict {
   readonly isGranted: boolean;
-  /** When a request that was not granted may come again; Infinity where it is larger than the limit. */
+  /** Retry delay of a rejected request; Infinity if it is larger than the limit. */
   readonly retryAfterMs: number;
-  /** How long routers have to ask before they serve this tenant; 0 while the limit is far. */
+  /** How long routers must query before they serve this tenant; 0 far below the limit. */
   readonly watchMs: number;
 }
 
-/** What the account knows of the group. */
-export interface AccountSurroundings {
+/** Tolerance of the account and state of the group. */
+export interface AccountContext {
   readonly tolerance: QuotaTolerance;
-  /** Share of the rate that is for routers that can reach this one, above 0 to 1. */
+  /** Share of the rate for the routers that can reach this one, above 0 and up to 1. */
   readonly reachableShare: number;
-  /** The part of the group's requests that the router of the account takes itself, above 0 to 1. */
+  /** Share of the group's requests that arrive at the quota owner, above 0 and up to 1. */
   readonly ownShare: number;
   /**
-   * Whether this router has run for a whole window. One that has restarted may have kept the account before,
-   * and would give out the excess once more with each start.
+   * Whether this router has run for a full window. A restarted router may have owned the account
+   * before, and would grant the excess again after each restart.
    */
   readonly hasRunForWindow: boolean;
 }
 
 /**
- * Shares of the excess allowed in a window that the account gives out: at once on top of the burst, and over
- * the window on top of the rate. What operators tolerate is better used than refused to callers. The rest
- * is for two accounts that begin anew within a window, and for what is on its way when one runs low.
+ * Shares of the excess allowed in a window that the account grants: at once in addition to the
+ * burst, and over the window in addition to the rate. The rest covers two accounts that are created
+ * within a window, and requests in flight when an account runs low.
  */
 const BURST_EXCESS_SHARE = 0.2;
 const RATE_EXCESS_SHARE = 0.35;
 /**
- * Level of an account that begins, or that nobody used for {@link IDLE_MS}, as a share of the excess
- * allowed: others may have kept the account meanwhile, and what they gave out is not known here.
+ * Level of an account that is new or was unused for {@link IDLE_MS}, as a share of the allowed
+ * excess. Another router may have owned the account meanwhile, and its grants are unknown here.
  */
-const BEGINNING_SHARE = 0.2;
+const INITIAL_LEVEL_SHARE = 0.2;
 const IDLE_MS = 1_000;
 /**
- * A router that is cut off with the account grants the whole rate to its own callers until it notices. So
- * much of the excess over the window is kept for that, by the router's part of the requests. With it the
- * most used window fell by 0.02 of what is allowed in groups of 3 and 5 routers (simulated, nine seeds).
+ * A partitioned quota owner grants the full rate to its own callers until it detects the partition.
+ * This multiple of its share of the requests is withheld from the excess to compensate.
  */
-const KEPT_OF_EXCESS = 2;
-/** An account that no more of the routers can reach is the one that was cut off. */
+const WITHHELD_EXCESS_FACTOR = 2;
+/** An account that at most this share of the routers can reach counts as partitioned. */
 const MINORITY_SHARE = 0.5;
-/** Below this share of its size the account has to be asked first. */
+/** Below this share of its size routers must query the account first. */
 const WATCH_BELOW_SHARE = 0.35;
-/** Above it no longer. */
-const RELAX_ABOVE_SHARE = 0.7;
-/** How long a router asks first after it last heard that it has to. */
+/** Above this share of its size routers need not query first any longer. */
+const UNWATCH_ABOVE_SHARE = 0.7;
+/** How long a router queries first after it was last instructed to. */
 export const WATCH_MS = 4_000;
-/** Share of the rate at which callers that were turned away are asked back; the rest is for new ones. */
-const RETURNING_SHARE = 0.5;
-/** A limit without a burst bears what accrues in this time, and one unit: nothing would pass it else. */
-const LEAST_BURST_MS = 250;
-/** Callers are asked back no later; what they find then is not foreseen. */
-const LONGEST_RETURN_MS = 3_000;
-const SHORTEST_RETURN_MS = 100;
+/** Share of the rate at which retries are scheduled; the rest is for new requests. */
+const RETRY_SHARE = 0.5;
+/** Minimum burst, as the time in which it accrues; a limit without any would reject everything. */
+const MINIMUM_BURST_MS = 250;
+const MAXIMUM_RETRY_DELAY_MS = 3_000;
+const MINIMUM_RETRY_DELAY_MS = 100;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** One tenant's account. */
+/** Token account of one tenant. */
 export class TenantAccount {
   private readonly bucket: TokenBucket;
-  private usedMs = -Infinity;
+  private lastUseMs = -Infinity;
   private isWatched = false;
-  private lastReturnMs = 0;
+  private lastRetryMs = 0;
 
   constructor(
     private limit: TenantLimit,
-    private surroundings: AccountSurroundings,
+    private context: AccountContext,
     nowMs: number,
   ) {
     const { rate, size } = this.bounds();
-    // The first charge lowers it to what an account may begin with.
+    // The first charge lowers the level to that of a new account.
     this.bucket = new TokenBucket(rate, size, size, nowMs);
   }
 
-  /** Units that may be used now. */
+  /** Available units. */
   level(nowMs: number): number {
     return this.bucket.level(nowMs);
   }
 
-  /** Takes a changed limit or a changed group. */
-  adapt(limit: TenantLimit, surroundings: AccountSurroundings, nowMs: number): void {
-    const before = this.surroundings;
+  /** Applies a changed limit or group. */
+  adapt(limit: TenantLimit, context: AccountContext, nowMs: number): void {
+    const before = this.context;
     const isSame =
       limit === this.limit &&
-      surroundings.reachableShare === before.reachableShare &&
-      surroundings.ownShare === before.ownShare;
-    const isFewer = surroundings.reachableShare < before.reachableShare;
-    this.surroundings = surroundings;
+      context.reachableShare === before.reachableShare &&
+      context.ownShare === before.ownShare;
+    const isFewer = context.reachableShare < before.reachableShare;
+    this.context = context;
     if (isSame) return;
     this.limit = limit;
     const { rate, size } = this.bounds();
     this.bucket.resize(rate, size, nowMs);
-    if (isFewer && surroundings.reachableShare <= MINORITY_SHARE) this.beginAnew(nowMs);
+    if (isFewer && context.reachableShare <= MINORITY_SHARE) this.reset(nowMs);
   }
 
   /**
-   * The account is cut off from most routers. Until that was noticed it filled at the whole rate, and only
-   * few used it; the others have opened another one, so that this one begins anew with its part.
+   * Resets an account that is partitioned from most routers. It filled at the full rate until the
+   * partition was detected, while the other routers use another account; so it restarts with its
+   * own share.
    */
-  private beginAnew(nowMs: number): void {
-    const { tolerance, reachableShare } = this.surroundings;
-    const beginning = BEGINNING_SHARE * excessAllowed(this.limit, tolerance);
-    this.bucket.lowerTo(beginning * reachableShare, nowMs);
+  private reset(nowMs: number): void {
+    const { tolerance, reachableShare } = this.context;
+    const initialLevel = INITIAL_LEVEL_SHARE * excessAllowed(this.limit, tolerance);
+    this.bucket.lowerTo(initialLevel * reachableShare, nowMs);
   }
 
-  /** Answers a router, and enters the charge where it is granted or taken. */
+  /** Decides on a charge, and records it if it is granted or already taken. */
   charge({ amount, isTaken }: ChargeRequest, nowMs: number): ChargeVerdict {
     this.noteUse(amount, nowMs);
     const isGranted = isTaken || amount <= this.bucket.level(nowMs);
@@ -133,64 +132,66 @@
     this.updateWatch(nowMs);
     return {
       isGranted,
-      retryAfterMs: isGranted ? 0 : this.bookReturn(amount, nowMs),
+      retryAfterMs: isGranted ? 0 : this.reserveRetry(amount, nowMs),
       watchMs: this.isWatched ? WATCH_MS : 0,
     };
   }
 
   private noteUse(amount: number, nowMs: number): void {
-    if (nowMs - this.usedMs > IDLE_MS) {
-      this.bucket.lowerTo(this.beginningFor(amount), nowMs);
+    if (nowMs - this.lastUseMs > IDLE_MS) {
+      this.bucket.lowerTo(this.initialLevelFor(amount), nowMs);
     }
-    this.usedMs = nowMs;
+    this.lastUseMs = nowMs;
   }
 
-  /** Level with which the account begins, where its first charge is `amount`. */
-  private beginningFor(amount: number): number {
-    const { tolerance, hasRunForWindow } = this.surroundings;
-    const beginning = BEGINNING_SHARE * excessAllowed(this.limit, tolerance);
-    // Where little excess is allowed, a tenant that sends seldom must still be served.
-    if (beginning < amount) return Math.min(amount, this.limit.burst);
-    return hasRunForWindow ? beginning : 0;
+  /** Initial level of an account whose first charge is `amount`. */
+  private initialLevelFor(amount: number): number {
+    const { tolerance, hasRunForWindow } = this.context;
+    const initialLevel = INITIAL_LEVEL_SHARE * excessAllowed(this.limit, tolerance);
+    // With a small allowed excess, a tenant with few requests must still be served.
+    if (initialLevel < amount) return Math.min(amount, this.limit.burst);
+    return hasRunForWindow ? initialLevel : 0;
   }
 
   private updateWatch(nowMs: number): void {
     const share = this.bucket.level(nowMs) / this.bucket.size;
     if (share < WATCH_BELOW_SHARE) this.isWatched = true;
-    else if (share > RELAX_ABOVE_SHARE) this.isWatched = false;
+    else if (share > UNWATCH_ABOVE_SHARE) this.isWatched = false;
   }
 
-  /** Callers come back one after the other, so that they do not meet the same empty account together. */
-  private bookReturn(amount: number, nowMs: number): number {
+  /** Staggers the retries of callers, so that they do not all find the account empty again. */
+  private reserveRetry(amount: number, nowMs: number): number {
     const waitMs = this.bucket.millisecondsUntil(amount, nowMs);
     if (waitMs === Infinity) return Infinity;
     const { ratePerSecond } = this.limit;
-    const turnMs = (amount / (ratePerSecond * RETURNING_SHARE)) * MILLISECONDS_PER_SECOND;
-    const earliestMs = Math.max(nowMs + waitMs, this.lastReturnMs + turnMs);
-    const atMs = Math.min(earliestMs, nowMs + LONGEST_RETURN_MS);
-    this.lastReturnMs = atMs;
-    return Math.max(SHORTEST_RETURN_MS, atMs - nowMs);
+    const intervalMs = (amount / (ratePerSecond * RETRY_SHARE)) * MILLISECONDS_PER_SECOND;
+    const earliestMs = Math.max(nowMs + waitMs, this.lastRetryMs + intervalMs);
+    const atMs = Math.min(earliestMs, nowMs + MAXIMUM_RETRY_DELAY_MS);
+    this.lastRetryMs = atMs;
+    return Math.max(MINIMUM_RETRY_DELAY_MS, atMs - nowMs);
   }
 
   private bounds(): { readonly rate: number; readonly size: number } {
-    const { tolerance } = this.surroundings;
+    const { tolerance } = this.context;
     const { ratePerSecond, burst } = this.limit;
     const excess = excessAllowed(this.limit, tolerance);
-    const leastBurst = Math.max(1, (ratePerSecond * LEAST_BURST_MS) / MILLISECONDS_PER_SECOND);
+    const minimumBurst = Math.max(1, (ratePerSecond * MINIMUM_BURST_MS) / MILLISECONDS_PER_SECOND);
     return {
       rate: this.rate(excess),
-      size: Math.max(burst, leastBurst) + BURST_EXCESS_SHARE * excess,
+      size: Math.max(burst, minimumBurst) + BURST_EXCESS_SHARE * excess,
     };
   }
 
-  /** Routers that can't reach the account spend their own share of the rate, and may use the excess up. */
+  /**
+   * Excludes the shares of the routers that can't reach the account, which may use up the excess.
+   */
   private rate(excess: number): number {
-    const { tolerance, reachableShare, ownShare } = this.surroundings;
+    const { tolerance, reachableShare, ownShare } = this.context;
     const { ratePerSecond } = this.limit;
     if (reachableShare < 1) return ratePerSecond * reachableShare;
-    const kept = Math.max(0, 1 - KEPT_OF_EXCESS * ownShare);
-    const given =
-      (kept * RATE_EXCESS_SHARE * excess * MILLISECONDS_PER_SECOND) / tolerance.windowMs;
-    return ratePerSecond + given;
+    const excessShare = Math.max(0, 1 - WITHHELD_EXCESS_FACTOR * ownShare);
+    const granted =
+      (excessShare * RATE_EXCESS_SHARE * excess * MILLISECONDS_PER_SECOND) / tolerance.windowMs;
+    return ratePerSecond + granted;
   }
 }
--- a/src/state/routing/quota/tenant-limit.ts
+++ b/src/state/routing/quota/tenant-limit.ts
@@ -1,44 +1,44 @@
-/** What an operator allows a tenant over all routers together, and what a request is charged. Pure. */
+/** The limit of a tenant over all routers together, and the charge of a request. Pure. */
 
-/** What a limit counts. */
+/** The unit that a limit counts. */
 export enum QuotaUnit {
   Requests = 'requests',
   Tokens = 'tokens',
 }
 
-/** The limit of one tenant: a rate, and what may be used at once on top of it. */
+/** The limit of one tenant: a rate and a burst. */
 export interface TenantLimit {
   readonly unit: QuotaUnit;
-  /** Units a second, above 0. */
+  /** Units per second, above 0. */
   readonly ratePerSecond: number;
-  /** Units. */
+  /** Units that may be used at once in addition to the rate. */
   readonly burst: number;
-  /** Tokens charged to a request that does not declare its tokens. */
+  /** Tokens charged for a request that does not declare its number of tokens. */
   readonly undeclaredTokens: number;
 }
 
-/** How far all routers together may pass a limit within any one window. */
+/** How far all routers together may exceed a limit within any window. */
 export interface QuotaTolerance {
   readonly windowMs: number;
-  /** Share of what the limit allows in a window. */
+  /** Tolerated excess as a share of what the limit allows in a window. */
   readonly overageShare: number;
-  /** Units on top. */
+  /** Additional tolerated excess, in units. */
   readonly slack: number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Units that a request is charged.
+ * Returns the charge of a request, in units.
  *
- * @param declaredTokens prompt tokens and the most that may be generated; undefined where not declared
+ * @param declaredTokens prompt tokens plus maximum output tokens; undefined if not declared
  */
 export function chargeOf(limit: TenantLimit, declaredTokens: number | undefined): number {
   if (limit.unit === QuotaUnit.Requests) return 1;
   return declaredTokens ?? limit.undeclaredTokens;
 }
 
-/** Units by which all routers together may pass the limit within one window. */
+/** Units by which all routers together may exceed the limit within one window. */
 export function excessAllowed(limit: TenantLimit, tolerance: QuotaTolerance): number {
   const { windowMs, overageShare, slack } = tolerance;
   const allowed = (limit.ratePerSecond * windowMs) / MILLISECONDS_PER_SECOND + limit.burst;
--- a/src/state/routing/quota/token-bucket.ts
+++ b/src/state/routing/quota/token-bucket.ts
@@ -1,4 +1,4 @@
-/** A bucket that fills at a rate, and may be overdrawn by what was used without being asked for. Pure. */
+/** A token bucket that may be overdrawn by use that is reported afterwards. Pure. */
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -17,31 +17,31 @@
     this.updatedMs = nowMs;
   }
 
-  /** Below 0 where more was used than the bucket held. */
+  /** Current level; negative if the bucket is overdrawn. */
   level(nowMs: number): number {
     this.fill(nowMs);
     return this.levelAtUpdate;
   }
 
-  /** The largest level. */
+  /** Maximum level. */
   get size(): number {
     return this.capacity;
   }
 
-  /** Takes what was used, whether the bucket held it or not; gives back where `amount` is negative. */
+  /** Withdraws an amount unconditionally; a negative amount is a refund. */
   take(amount: number, nowMs: number): void {
     this.fill(nowMs);
     this.levelAtUpdate = Math.min(this.capacity, this.levelAtUpdate - amount);
   }
 
-  /** Time until the bucket holds `amount`; Infinity where it never will. */
+  /** Time until the bucket holds `amount`; Infinity if that exceeds its capacity. */
   millisecondsUntil(amount: number, nowMs: number): number {
     if (amount > this.capacity) return Infinity;
     const missing = amount - this.level(nowMs);
     return missing <= 0 ? 0 : (missing / this.ratePerSecond) * MILLISECONDS_PER_SECOND;
   }
 
-  /** Changes rate and size from now on; what is above the new size is lost. */
+  /** Changes rate and capacity; a level above the new capacity is lowered to it. */
   resize(ratePerSecond: number, capacity: number, nowMs: number): void {
     this.fill(nowMs);
     this.ratePerSecond = ratePerSecond;
@@ -49,7 +49,7 @@
     this.levelAtUpdate = Math.min(capacity, this.levelAtUpdate);
   }
 
-  /** The level is no more than this from now on. */
+  /** Lowers the level to at most `level`. */
   lowerTo(level: number, nowMs: number): void {
     this.fill(nowMs);
     this.levelAtUpdate = Math.min(level, this.levelAtUpdate);
--- a/src/state/routing/rejection.ts
+++ b/src/state/routing/rejection.ts
@@ -1,127 +1,131 @@
 /**
- * When a rejected caller may come back, by reason and by what the router knows at that moment. A rejection
- * with a time to come back is a promise that nothing ran. Pure.
+ * Computes the retry delay of a rejected request from the reason and the observed load. A rejection
+ * with a retry delay guarantees that no part of the request ran. Pure.
  */
 import type { RandomSource } from '../../runtime/random.js';
-import { ReturnSchedule } from './return-schedule.js';
+import { RetrySchedule } from './return-schedule.js';
 
-/** Why a request was not served and may come again; the label in logs and metrics. */
+/** Why a request was rejected and may be retried; a label in logs and metrics. */
 export enum RejectionReason {
-  /** No configuration has been read yet. */
+  /** The router has not read a configuration yet. */
   NoConfiguration = 'no-configuration',
-  /** The proof that the configuration is current has run out. */
+  /** The proof that the configuration is current has expired. */
   ConfigurationUnproven = 'configuration-unproven',
-  /** The route names no service that the configuration holds. */
+  /** The route refers to no service of the configuration. */
   NoService = 'no-service',
-  /** Every engine of the service drains, loads, failed this request or has weights that are too old. */
+  /**
+   * Every engine of the service drains, loads weights, failed this request or has outdated weights.
+   */
   NoEngine = 'no-engine',
-  /** Every engine that could serve it asked this router for a pause. */
+  /** Every eligible engine asked this router to back off. */
   EnginesBackingOff = 'engines-backing-off',
-  /** Every engine that could serve it takes a limited number of requests a second, and none more of this router now. */
+  /** Every eligible engine has a rate limit, and this router has no slot left at any of them. */
   EnginesLimited = 'engines-limited',
-  /** This router's share of each engine's connections is in use. */
+  /** This router's share of the connections of each engine is in use. */
   AllBusy = 'all-busy',
-  /** The engines that were asked had no place. */
+  /** The engines that were tried have no free slot. */
   EnginesFull = 'engines-full',
-  /** No connection could be opened to the engines that were tried. */
+  /** Connecting to the engines that were tried failed. */
   EnginesUnreachable = 'engines-unreachable',
-  /** By what answers show now, the last token would come after the caller's deadline. */
+  /** The response is estimated to end after the caller's deadline. */
   TooLate = 'too-late',
-  /** Too little of the caller's time is left for any send. */
+  /** Too little time is left before the caller's deadline to send the request. */
   NoTimeLeft = 'no-time-left',
   Stopping = 'stopping',
 }
 
-/** What is known of a rejection. Times in milliseconds. */
-export interface RejectionFacts {
+/** The observations that a retry delay is computed from. Times in milliseconds. */
+export interface RejectionContext {
   readonly reason: RejectionReason;
-  /** 0 is the most urgent. */
+  /** 0 is the highest. */
   readonly priority: number;
-  /** Requests a second that the service has ended for this router lately. */
+  /** Recent rate of requests of this router that the service completed. */
   readonly finishesPerSecond: number;
-  /** By how much the estimate passes what it may be; 0 where there is none. */
+  /** By how much the estimated end exceeds the deadline; 0 without an estimate. */
   readonly excessMs: number;
-  /** Time until the first engine that paused or limits requests takes one of this router; 0 where none does. */
+  /**
+   * Time until the first backing-off or rate-limited engine accepts a request; 0 if there is none.
+   */
   readonly engineWaitMs: number;
-  /** For how long the store has been out of reach; 0 while it is not. */
+  /** How long the store has been unavailable; 0 while it is available. */
   readonly storeOutMs: number;
-  /** Whether other routers respond: one of them may do what this one can't. */
+  /** Whether other routers respond and may be able to serve the request. */
   readonly hasPeers: boolean;
 }
 
-/** Shortest time to come back: a caller that comes at once meets the same state. */
-const SHORTEST_MS = 100;
-/** Longest time to come back; beyond it nothing is foreseen. */
-const LONGEST_MS = 3_000;
-/** Where another router may help, a caller is sent on soon. */
-const ANOTHER_ROUTER_MS = 150;
-/** A list, a load or a connection that is missing takes about this long. */
-const SHORT_WORK_MS = 300;
-/** Where nothing has ended lately, callers come back at this rate. */
-const LEAST_RETURNS_PER_SECOND = 4;
-/** Share of what is served that callers who come back may take; the rest is for new requests. */
-const RETURNING_SHARE = 0.5;
-/** Times are drawn from the time foreseen to this much more. */
+/** An immediate retry would find the same state. */
+const MINIMUM_DELAY_MS = 100;
+const MAXIMUM_DELAY_MS = 3_000;
+/** Retry delay if another router may be able to serve the request. */
+const FAILOVER_DELAY_MS = 150;
+/** Typical time until a missing list, load or connection is available. */
+const TRANSIENT_DELAY_MS = 300;
+/** Retry rate for a service that has completed no requests recently. */
+const MINIMUM_RETRIES_PER_SECOND = 4;
+/** Share of the completion rate that retries may use; the rest is for new requests. */
+const RETRY_SHARE = 0.5;
+/** Delays are extended by a random share of up to this much. */
 export const JITTER_SHARE = 0.3;
 
-/** Decides when callers may come back. */
+/** Computes retry delays. */
 export class RejectionAdvice {
-  private readonly schedules = new Map<string, ReturnSchedule>();
+  private readonly schedules = new Map<string, RetrySchedule>();
 
   constructor(private readonly random: RandomSource) {}
 
-  /** @param service whose places the caller waits for; callers of one do not wait for those of another */
-  retryAfterMs(service: string, facts: RejectionFacts, nowMs: number): number {
-    const earliestMs = nowMs + EARLIEST_RETURN_MS[facts.reason](facts);
-    const atMs = waitsForPlaces(facts.reason)
-      ? this.bookReturn(service, facts, earliestMs, nowMs)
+  /** @param service whose capacity the caller waits for; each service has a schedule of its own */
+  retryAfterMs(service: string, context: RejectionContext, nowMs: number): number {
+    const earliestMs = nowMs + EARLIEST_RETRY_MS[context.reason](context);
+    const atMs = needsCapacity(context.reason)
+      ? this.reserveRetry(service, context, earliestMs, nowMs)
       : earliestMs;
-    const foreseenMs = Math.min(LONGEST_MS, Math.max(SHORTEST_MS, atMs - nowMs));
-    return Math.round(foreseenMs * (1 + JITTER_SHARE * this.random.next()));
+    const delayMs = Math.min(MAXIMUM_DELAY_MS, Math.max(MINIMUM_DELAY_MS, atMs - nowMs));
+    return Math.round(delayMs * (1 + JITTER_SHARE * this.random.next()));
   }
 
-  private bookReturn(
+  private reserveRetry(
     service: string,
-    facts: RejectionFacts,
+    context: RejectionContext,
     earliestMs: number,
     nowMs: number,
   ): number {
-    const horizonMs = nowMs + LONGEST_MS;
-    const rate = returnsPerSecond(facts);
-    return this.scheduleOf(service).book(facts.priority, earliestMs, rate, horizonMs);
+    const horizonMs = nowMs + MAXIMUM_DELAY_MS;
+    const rate = retriesPerSecond(context);
+    return this.scheduleOf(service).reserve(context.priority, earliestMs, rate, horizonMs);
   }
 
-  private scheduleOf(service: string): ReturnSchedule {
+  private scheduleOf(service: string): RetrySchedule {
     let schedule = this.schedules.get(service);
     if (!schedule) {
-      schedule = new ReturnSchedule();
+      schedule = new RetrySchedule();
       this.schedules.set(service, schedule);
     }
     return schedule;
   }
 }
 
-/** Soonest time after which it may go better, in milliseconds. */
-const EARLIEST_RETURN_MS: Record<RejectionReason, (facts: RejectionFacts) => number> = {
-  [RejectionReason.Stopping]: () => SHORTEST_MS,
+/** Earliest time after which a retry may succeed, in milliseconds. */
+const EARLIEST_RETRY_MS: Record<RejectionReason, (context: RejectionContext) => number> = {
+  [RejectionReason.Stopping]: () => MINIMUM_DELAY_MS,
   [RejectionReason.NoConfiguration]: ({ hasPeers }) =>
-    hasPeers ? ANOTHER_ROUTER_MS : SHORT_WORK_MS,
-  // Routers share their proofs, so the others lack it too; an outage lasts about as long again.
+    hasPeers ? FAILOVER_DELAY_MS : TRANSIENT_DELAY_MS,
+  // Routers share their proofs, so the others lack one too. An outage is assumed to last half as
+  // long again.
   [RejectionReason.ConfigurationUnproven]: ({ hasPeers, storeOutMs }) =>
-    hasPeers ? Math.max(SHORT_WORK_MS, storeOutMs / 2) : ANOTHER_ROUTER_MS,
+    hasPeers ? Math.max(TRANSIENT_DELAY_MS, storeOutMs / 2) : FAILOVER_DELAY_MS,
   [RejectionReason.TooLate]: ({ excessMs }) => excessMs,
-  [RejectionReason.NoService]: () => SHORT_WORK_MS,
-  [RejectionReason.NoEngine]: () => SHORT_WORK_MS,
+  [RejectionReason.NoService]: () => TRANSIENT_DELAY_MS,
+  [RejectionReason.NoEngine]: () => TRANSIENT_DELAY_MS,
   [RejectionReason.EnginesBackingOff]: ({ engineWaitMs }) => engineWaitMs,
   [RejectionReason.EnginesLimited]: ({ engineWaitMs }) => engineWaitMs,
-  [RejectionReason.EnginesUnreachable]: () => SHORT_WORK_MS,
-  [RejectionReason.AllBusy]: () => SHORTEST_MS,
-  [RejectionReason.EnginesFull]: () => SHORTEST_MS,
-  [RejectionReason.NoTimeLeft]: () => SHORTEST_MS,
+  [RejectionReason.EnginesUnreachable]: () => TRANSIENT_DELAY_MS,
+  [RejectionReason.AllBusy]: () => MINIMUM_DELAY_MS,
+  [RejectionReason.EnginesFull]: () => MINIMUM_DELAY_MS,
+  [RejectionReason.NoTimeLeft]: () => MINIMUM_DELAY_MS,
 };
 
-/** Whether places at engines are what is missing. */
-function waitsForPlaces(reason: RejectionReason): boolean {
+/** Whether a retry depends on free capacity of engines. */
+function needsCapacity(reason: RejectionReason): boolean {
   return (
     reason === RejectionReason.AllBusy ||
     reason === RejectionReason.EnginesBackingOff ||
@@ -131,6 +135,6 @@
   );
 }
 
-function returnsPerSecond({ finishesPerSecond }: RejectionFacts): number {
-  return Math.max(LEAST_RETURNS_PER_SECOND, RETURNING_SHARE * finishesPerSecond);
+function retriesPerSecond({ finishesPerSecond }: RejectionContext): number {
+  return Math.max(MINIMUM_RETRIES_PER_SECOND, RETRY_SHARE * finishesPerSecond);
 }
--- a/src/state/routing/request-fingerprint.ts
+++ b/src/state/routing/request-fingerprint.ts
@@ -1,30 +1,30 @@
 /**
- * Names a request by what it is, so that it is known again when it comes under another identifier and at
- * another router: caller, host, method, path and body.
+ * Identifies a request by its content, so that every router recognizes a retry under another
+ * request identifier: tenant, host, method, path and body.
  *
- * SHA-256, so that nobody can craft a request with the fingerprint of somebody else's; the tenant is part
- * of the hash, so requests of two tenants never share one. Taken only for requests that broke with their
- * engine, and while such requests are known: 17 microseconds for a body of 18 KB (`npm run bench`).
+ * SHA-256 prevents callers from crafting a request with the fingerprint of another one. The tenant
+ * is part of the hash, so requests of two tenants never share a fingerprint. Fingerprints are
+ * computed only while crashes are under suspicion, see {@link RequestQuarantine}.
  */
 import { createHash } from 'node:crypto';
 
-/** What makes two requests the same. */
+/** The properties in which equal requests agree. */
 export interface RequestIdentity {
-  /** Undefined where the caller needs no key. */
+  /** Undefined if the caller needs no key. */
   readonly tenant: string | undefined;
   readonly host: string;
   readonly method: string;
-  /** Path without its query. */
+  /** Without the query. */
   readonly path: string;
   readonly body: Uint8Array;
 }
 
-/** Bytes of the hash that are kept: enough that no collision can be searched for. */
+/** Length of the truncated hash; long enough to make searching for collisions infeasible. */
 const FINGERPRINT_BYTES = 16;
-/** Can't stand in any of the texts before it. */
+/** Occurs in none of the separated fields. */
 const SEPARATOR = '\0';
 
-/** The fingerprint, 32 hexadecimal digits. */
+/** Returns the fingerprint as 32 hexadecimal digits. */
 export function fingerprintOf({ tenant, host, method, path, body }: RequestIdentity): string {
   const hash = createHash('sha256');
   hash.update([tenant === undefined ? '-' : `+${tenant}`, host, method, path, ''].join(SEPARATOR));
--- a/src/state/routing/request-quarantine.ts
+++ b/src/state/routing/request-quarantine.ts
@@ -1,73 +1,71 @@
 /**
- * Requests under which engines crashed, by fingerprint. A request that was running at three engines when
- * each of them crashed, and that never came to a good end, is quarantined: it is the cause, and no engine
- * may be sent it again. Pure; bounded in entries and time.
+ * Tracks requests that were running on engines when these crashed, by fingerprint. A request that
+ * was running at several crashes of different engines and never completed successfully is
+ * quarantined as the probable cause: it is not sent to any engine again. Pure; bounded in entries
+ * and time.
  *
- * A crash breaks every request that the engine was running, and all but one are innocent. Two things keep
- * them from being blamed: an innocent request would have to be hit at three engines one after the other,
- * and one good end anywhere clears it, since a request that crashes engines never has one.
+ * A crash interrupts every request on the engine, most of which did not cause it. They are not
+ * quarantined, because that takes crashes of several engines, and because one successful completion
+ * clears a request.
  */
 
-/** How sure must be that a request is the cause. */
+/** When a request counts as the cause of crashes. */
 export interface QuarantinePolicy {
-  /** Crashes, each of another engine, after which a request is quarantined. */
+  /** Number of different crashed engines after which a request is quarantined. */
   readonly crashes: number;
 }
 
-/**
- * Of 3,787 requests of a day on which 11 engines crashed by themselves, one was at two of them in the moment
- * of their crash and none at three.
- */
+/** High enough that independent crashes do not quarantine a request. */
 export const DEFAULT_QUARANTINE_POLICY: QuarantinePolicy = { crashes: 3 };
 
-/** What a note has changed. */
+/** The effect of a recorded event. */
 export enum QuarantineChange {
   None = 'none',
-  /** One more crash is known of a request that may be innocent. */
+  /** A crash was recorded that does not quarantine the request. */
   Suspected = 'suspected',
   Quarantined = 'quarantined',
-  /** The request was suspected, but not quarantined, and is not any more. */
+  /** The request was suspected, but not quarantined, and is cleared. */
   Cleared = 'cleared',
-  /** The request was quarantined and is not any more. */
+  /** The request was quarantined and is released. */
   Lifted = 'lifted',
 }
 
 interface Entry {
-  /** When each engine crashed, by incarnation. */
+  /** Time of each crash, by incarnation of the engine. */
   readonly crashedMs: Map<string, number>;
   quarantinedMs: number | undefined;
-  /** What happened until then counts no more. */
+  /** Events up to this time are ignored. */
   clearedMs: number;
-  touchedMs: number;
+  updatedMs: number;
 }
 
-/** Entries kept; of those that are not quarantined the least recently touched go first. */
+/** At this size the least recently updated entry that is not quarantined is evicted. */
 const MAXIMUM_ENTRIES = 4_096;
 const MAXIMUM_QUARANTINED = 512;
 /**
- * What cleared a request is remembered this long: longer than routers repeat their notices, and than one
- * that heard nothing takes to read the store again.
+ * How long clearances are retained: longer than routers repeat their announcements, and longer than
+ * a router that received none takes to read the store again.
  */
 const CLEARANCE_LIFETIME_MS = 120_000;
-/** A request that comes again later than this must crash engines anew to be blamed. */
+/** A suspected request without another crash within this time is dropped. */
 const SUSPICION_LIFETIME_MS = 600_000;
-/** Callers give up long before; weights or engines may have been mended by then. */
+/** Longer than callers retry; the engines may have been repaired by then. */
 export const QUARANTINE_LIFETIME_MS = 1_800_000;
 
-/** What one router knows. */
+/** The suspected and quarantined requests known to one router. */
 export class RequestQuarantine {
-  /** By fingerprint, the least recently touched first. */
+  /** By fingerprint, the least recently updated first. */
   private readonly entries = new Map<string, Entry>();
   private readonly quarantined = new Set<string>();
 
   constructor(private readonly policy: QuarantinePolicy = DEFAULT_QUARANTINE_POLICY) {}
 
-  /** Whether nothing is known of any request: then no fingerprint needs to be taken. */
+  /** Whether there are no entries, so that no fingerprints need to be computed. */
   get isEmpty(): boolean {
     return this.entries.size === 0;
   }
 
-  /** All fingerprints in quarantine and since when. */
+  /** Start times of all quarantines, by fingerprint. */
   get quarantinedSince(): ReadonlyMap<string, number> {
     const since = new Map<string, number>();
     for (const fingerprint of this.quarantined) {
@@ -80,82 +78,82 @@
     return this.quarantined.has(fingerprint);
   }
 
-  /** Whether the request was known as cleared at `atMs`, so that what was seen until then counts no more. */
+  /** Whether the request was cleared at or after `atMs`, so that events up to then are ignored. */
   isClearedSince(fingerprint: string, atMs: number): boolean {
     return atMs <= (this.entries.get(fingerprint)?.clearedMs ?? -Infinity);
   }
 
-  /** Engines that crashed while they ran the request. */
+  /** Engines that crashed while running the request. */
   crashedEngines(fingerprint: string): string[] {
     return [...(this.entries.get(fingerprint)?.crashedMs.keys() ?? [])];
   }
 
-  /** An engine crashed at `atMs` while it ran the request. */
+  /** Records that an engine crashed at `atMs` while running the request. */
   noteCrash(fingerprint: string, engineId: string, atMs: number): QuarantineChange {
-    const entry = this.touch(fingerprint, atMs);
+    const entry = this.getOrCreate(fingerprint, atMs);
     if (atMs <= entry.clearedMs || entry.crashedMs.has(engineId)) return QuarantineChange.None;
     entry.crashedMs.set(engineId, atMs);
-    const isProven = entry.crashedMs.size >= this.policy.crashes;
-    if (!isProven || this.quarantined.has(fingerprint)) return QuarantineChange.Suspected;
-    this.enter(fingerprint, entry, atMs);
+    const isThresholdReached = entry.crashedMs.size >= this.policy.crashes;
+    if (!isThresholdReached || this.quarantined.has(fingerprint)) return QuarantineChange.Suspected;
+    this.addToQuarantine(fingerprint, entry, atMs);
     return QuarantineChange.Quarantined;
   }
 
-  /** Another router, or the store, has it in quarantine since `sinceMs`. */
+  /** Records that the request is quarantined by another router or in the store since `sinceMs`. */
   noteQuarantined(fingerprint: string, sinceMs: number): QuarantineChange {
     if (this.quarantined.has(fingerprint)) return QuarantineChange.None;
-    const entry = this.touch(fingerprint, sinceMs);
+    const entry = this.getOrCreate(fingerprint, sinceMs);
     if (sinceMs <= entry.clearedMs) return QuarantineChange.None;
-    this.enter(fingerprint, entry, sinceMs);
+    this.addToQuarantine(fingerprint, entry, sinceMs);
     return QuarantineChange.Quarantined;
   }
 
-  /** The request came to a good end at `atMs`, or an operator has lifted its quarantine. */
+  /** Records that the request completed successfully at `atMs`, or that an operator released it. */
   noteCleared(fingerprint: string, atMs: number): QuarantineChange {
     const entry = this.entries.get(fingerprint);
     if (!entry || atMs <= entry.clearedMs) return QuarantineChange.None;
     const isSuspected = entry.crashedMs.size > 0;
     const isLifted = (entry.quarantinedMs ?? Infinity) <= atMs;
     entry.clearedMs = atMs;
-    entry.touchedMs = Math.max(entry.touchedMs, atMs);
+    entry.updatedMs = Math.max(entry.updatedMs, atMs);
     for (const [engineId, crashedMs] of entry.crashedMs) {
       if (crashedMs <= atMs) entry.crashedMs.delete(engineId);
     }
     if (isLifted) {
-      this.leave(fingerprint, entry);
+      this.release(fingerprint, entry);
       return QuarantineChange.Lifted;
     }
     return isSuspected ? QuarantineChange.Cleared : QuarantineChange.None;
   }
 
-  /** Forgets what is too old; answers the fingerprints whose quarantine has run out. */
+  /** Drops expired entries and returns the fingerprints whose quarantine has expired. */
   expire(nowMs: number): string[] {
     const expired: string[] = [];
     for (const [fingerprint, entry] of this.entries) {
       const isQuarantined = this.quarantined.has(fingerprint);
-      if (nowMs - entry.touchedMs <= lifetimeOf(entry)) continue;
+      if (nowMs - entry.updatedMs <= lifetimeOf(entry)) continue;
       if (isQuarantined) expired.push(fingerprint);
       this.drop(fingerprint);
     }
     return expired;
   }
 
-  private touch(fingerprint: string, atMs: number): Entry {
+  private getOrCreate(fingerprint: string, atMs: number): Entry {
     const present = this.entries.get(fingerprint);
     const entry = present ?? {
       crashedMs: new Map<string, number>(),
       quarantinedMs: undefined,
       clearedMs: -Infinity,
-      touchedMs: atMs,
+      updatedMs: atMs,
     };
-    entry.touchedMs = Math.max(entry.touchedMs, atMs);
+    entry.updatedMs = Math.max(entry.updatedMs, atMs);
     this.entries.delete(fingerprint);
-    if (this.entries.size >= MAXIMUM_ENTRIES) this.dropOldestSuspect();
+    if (this.entries.size >= MAXIMUM_ENTRIES) this.evictOldestSuspect();
     this.entries.set(fingerprint, entry);
     return entry;
   }
 
-  private enter(fingerprint: string, entry: Entry, sinceMs: number): void {
+  private addToQuarantine(fingerprint: string, entry: Entry, sinceMs: number): void {
     entry.quarantinedMs = sinceMs;
     if (this.quarantined.size >= MAXIMUM_QUARANTINED) {
       const [oldest] = this.quarantined;
@@ -164,12 +162,12 @@
     this.quarantined.add(fingerprint);
   }
 
-  private leave(fingerprint: string, entry: Entry): void {
+  private release(fingerprint: string, entry: Entry): void {
     entry.quarantinedMs = undefined;
     this.quarantined.delete(fingerprint);
   }
 
-  private dropOldestSuspect(): void {
+  private evictOldestSuspect(): void {
     for (const fingerprint of this.entries.keys()) {
       if (this.quarantined.has(fingerprint)) continue;
       this.drop(fingerprint);
--- a/src/state/routing/route-table.ts
+++ b/src/state/routing/route-table.ts
@@ -1,7 +1,7 @@
-/** Finds the route of a request and the tenant of a key in one configuration. */
+/** Looks up routes by host and path, and tenants by key or name. */
 import type { Route, RoutingConfiguration, Service, Tenant } from './configuration.js';
 
-/** An index over one {@link RoutingConfiguration}. */
+/** Index of one {@link RoutingConfiguration}. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, Map<string, Route>>();
   private readonly tenantsByKey = new Map<string, Tenant>();
@@ -21,12 +21,11 @@
     return this.configuration.tenants !== undefined;
   }
 
-  /** The cache stores of the configuration. */
   get cacheStores(): Service[] {
     return this.configuration.services.filter((service) => service.cacheStore);
   }
 
-  /** The route with the longest prefix; the path is without its query. */
+  /** Returns the route with the longest matching prefix. The path has no query. */
   findRoute(host: string, path: string): Route | undefined {
     const routes = this.routesByHost.get(host);
     if (!routes) return undefined;
--- a/src/state/routing/send-rate.ts
+++ b/src/state/routing/send-rate.ts
@@ -1,9 +1,9 @@
-/** How much this router has sent lately, by model: requests, or tokens of their prompts. Pure. */
+/** Rate at which this router sends requests or prompt tokens, by model. Pure. */
 
-/** Amounts are added up in spans of this length. */
+/** Length of one span of the sliding window. */
 const SPAN_MS = 500;
-/** Whole spans that count. */
-const SPANS = 6;
+/** Number of complete spans in the window. */
+const SPAN_COUNT = 6;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 interface SpanAmount {
@@ -11,7 +11,7 @@
   amount: number;
 }
 
-/** Amounts a second over the last few seconds. */
+/** Amounts per second over a sliding window. */
 export class SendRate {
   private readonly byModel = new Map<string, SpanAmount[]>();
 
@@ -21,16 +21,16 @@
     const newest = spans.at(-1);
     if (newest?.span === span) newest.amount += amount;
     else spans.push({ span, amount });
-    if (spans.length > SPANS + 1) spans.shift();
+    if (spans.length > SPAN_COUNT + 1) spans.shift();
     this.byModel.set(model, spans);
   }
 
-  /** Mean over the whole spans before the present one. */
+  /** Mean over the complete spans before the current one. */
   perSecond(model: string, nowMs: number): number {
-    const present = Math.floor(nowMs / SPAN_MS);
+    const current = Math.floor(nowMs / SPAN_MS);
     const spans = this.byModel.get(model) ?? [];
-    const counted = spans.filter(({ span }) => span < present && span >= present - SPANS);
+    const counted = spans.filter(({ span }) => span < current && span >= current - SPAN_COUNT);
     const total = counted.reduce((sum, { amount }) => sum + amount, 0);
-    return (total * MILLISECONDS_PER_SECOND) / (SPANS * SPAN_MS);
+    return (total * MILLISECONDS_PER_SECOND) / (SPAN_COUNT * SPAN_MS);
   }
 }
--- a/src/state/routing/shared-retry-budget.ts
+++ b/src/state/routing/shared-retry-budget.ts
@@ -1,24 +1,27 @@
 /**
- * This router's share of a service's retry budget. All routers together may repeat a share of the
- * requests of a sliding window plus a fixed allowance, which is divided by the size of the group.
+ * This router's share of the retry budget of a service. The budget of all routers together is a
+ * ratio of the requests in a sliding window, plus a fixed allowance that is divided by the size of
+ * the group.
  */
 
-/** Bounds of the budget. */
+/** Limits of the budget. */
 export interface RetryBudgetSettings {
-  /** Repeats allowed for each request of the window. */
+  /** Retries allowed per request in the window. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Repeats allowed besides, over all routers. */
+  /** Additional retries allowed for all routers together. */
   readonly allowance: number;
 }
 
-/** Part of the bounds that is used; the rest covers routers that restarted and forgot. */
+/**
+ * Share of the budget that is used; the rest covers routers that lost their counts in a restart.
+ */
 const USED_SHARE = 0.6;
 
-/** Counts requests and repeats of one service over a sliding window. */
+/** Counts requests and retries of one service over a sliding window. */
 export class SharedRetryBudget {
   private readonly requests: number[] = [];
-  private readonly repeats: number[] = [];
+  private readonly retries: number[] = [];
 
   constructor(private readonly settings: RetryBudgetSettings) {}
 
@@ -27,20 +30,20 @@
     this.expire(this.requests, nowMs);
   }
 
-  /** Whether a repeat may be taken now. */
+  /** Whether a retry is within the budget. */
   canSpend(nowMs: number, groupSize: number): boolean {
     this.expire(this.requests, nowMs);
-    this.expire(this.repeats, nowMs);
+    this.expire(this.retries, nowMs);
     const { ratio, allowance } = this.settings;
     const earned = ratio * this.requests.length;
     const limit = USED_SHARE * (earned + allowance / Math.max(1, groupSize));
-    return this.repeats.length + 1 <= limit;
+    return this.retries.length + 1 <= limit;
   }
 
-  /** Takes one repeat; false where the share of this router is spent. */
+  /** Spends one retry; returns false if the share of this router is used up. */
   trySpend(nowMs: number, groupSize: number): boolean {
     if (!this.canSpend(nowMs, groupSize)) return false;
-    this.repeats.push(nowMs);
+    this.retries.push(nowMs);
     return true;
   }
 
--- a/src/state/routing/store-eras.ts
+++ b/src/state/routing/store-eras.ts
@@ -1,37 +1,41 @@
 /**
- * The newest era of the store that one router knows of, and when it followed on another. What was agreed through the store in a former
- * era may be lost: whoever acts on that has to agree anew. Pure.
+ * Tracks the newest store era that one router has observed, and when it replaced another one.
+ * Agreements that were made through the store in a previous era may be lost and have to be made
+ * again. Pure.
  */
 import { StoreEra } from '../../runtime/store-position.js';
 
-/** Eras as one router learns of them. */
+/** The store eras observed by one router. */
 export class StoreEras {
   private newestEra: number = StoreEra.Unknown;
   private lastChangeMs = -Infinity;
 
-  /** @param isFirstStart whether the whole deployment starts for the first time: no era came before the first one */
+  /**
+   * @param isFirstStart whether the whole deployment starts for the first time, so that no previous
+   *   era exists
+   */
   constructor(private readonly isFirstStart: boolean) {}
 
-  /** {@link StoreEra.Unknown} before the first answer. */
+  /** {@link StoreEra.Unknown} before the first observation. */
   get newest(): number {
     return this.newestEra;
   }
 
   /**
-   * Steady time at which the newest era was first heard of, in milliseconds; -Infinity where nothing can have been
-   * agreed in a former one.
+   * Monotonic time at which the newest era was first observed, in milliseconds; -Infinity if no
+   * agreement can date from a previous era.
    */
   get changedMs(): number {
     return this.lastChangeMs;
   }
 
-  /** An answer of the store, or another router, shows an era. */
+  /** Records an era reported by the store or by another router. */
   note(era: number, nowMs: number): void {
     if (era <= this.newestEra) return;
     const isFirst = this.newestEra === StoreEra.Unknown;
     this.newestEra = era;
-    // A router that has just started can't know whether the store was restored a moment ago.
-    const hasFormer = isFirst ? era !== StoreEra.None && !this.isFirstStart : true;
-    if (hasFormer) this.lastChangeMs = nowMs;
+    // A router that has just started can't know whether the store was restored shortly before.
+    const hasPreviousEra = isFirst ? era !== StoreEra.None && !this.isFirstStart : true;
+    if (hasPreviousEra) this.lastChangeMs = nowMs;
   }
 }
--- a/src/state/routing/store-outages.ts
+++ b/src/state/routing/store-outages.ts
@@ -1,48 +1,49 @@
 /**
- * When this router could not reach the store. Bounds that count from what an operator wrote stand still
- * meanwhile: nobody can act on it, and the platform does not count that time either. Pure.
+ * Records when the store was unavailable to this router. Deadlines that count from a write of an
+ * operator are extended by outages, as no router can act on the write meanwhile. Pure.
  */
 
 interface Outage {
-  readonly beganMs: number;
-  /** Undefined while it lasts. */
+  readonly startedMs: number;
+  /** Undefined while the outage lasts. */
   endedMs: number | undefined;
 }
 
-/** Outages remembered; older ones matter to no bound. */
+/** Older outages are dropped; no deadline reaches back that far. */
 const MAXIMUM_OUTAGES = 32;
-/** The store is found again this much later than it came back, by the pause between calls. */
-const DETECTION_MS = 750;
+/** Maximum delay until a recovery is detected, due to the interval between calls. */
+const DETECTION_DELAY_MS = 750;
 
-/** The outages of the last minutes. */
+/** The recent outages of the store. */
 export class StoreOutages {
   private outages: Outage[] = [];
 
-  /** A call was not answered, nor could another router answer in its place. */
+  /** Records that neither the store nor another router on its behalf responded to a call. */
   noteFailure(nowMs: number): void {
     if (this.current) return;
-    this.outages.push({ beganMs: nowMs, endedMs: undefined });
+    this.outages.push({ startedMs: nowMs, endedMs: undefined });
     if (this.outages.length > MAXIMUM_OUTAGES) this.outages.shift();
   }
 
+  /** Records a response of the store, which ends an outage. */
   noteAnswer(nowMs: number): void {
     const { current } = this;
     if (current) current.endedMs = nowMs;
   }
 
-  /** Time within a span in which the store was out, in milliseconds; at most the truth. */
+  /** Lower bound of the outage time between `fromMs` and `toMs`, in milliseconds. */
   within(fromMs: number, toMs: number): number {
-    const spans = this.outages.map(({ beganMs, endedMs }) => {
-      const spanMs = Math.min(toMs, endedMs ?? toMs) - Math.max(fromMs, beganMs);
-      return Math.max(0, spanMs - DETECTION_MS);
+    const overlapsMs = this.outages.map(({ startedMs, endedMs }) => {
+      const overlapMs = Math.min(toMs, endedMs ?? toMs) - Math.max(fromMs, startedMs);
+      return Math.max(0, overlapMs - DETECTION_DELAY_MS);
     });
-    return spans.reduce((sum, spanMs) => sum + spanMs, 0);
+    return overlapsMs.reduce((sum, overlapMs) => sum + overlapMs, 0);
   }
 
-  /** For how long the store has been out of reach; 0 while it is not. */
+  /** Duration of the current outage, in milliseconds; 0 while the store is available. */
   outForMs(nowMs: number): number {
     const { current } = this;
-    return current ? nowMs - current.beganMs : 0;
+    return current ? nowMs - current.startedMs : 0;
   }
 
   private get current(): Outage | undefined {
--- a/src/state/routing/store-readers.ts
+++ b/src/state/routing/store-readers.ts
@@ -1,31 +1,32 @@
 /**
- * Which routers of a large group read the store themselves; the others follow it through one of these.
- * Every router decides alike from its view of the group; views that differ for a moment do no harm,
- * since whoever is asked answers with what it knows and how old that is. Pure.
+ * Chooses the routers of a large group that read the store directly; the others read it through one
+ * of these. Every router computes the same choice from its view of the group. Views may differ
+ * temporarily, since every router responds to a query with its last known state and the age of that
+ * state. Pure.
  */
 
-/** A router, as far as this choice goes. */
-export interface GroupPlace {
+/** The properties of a router that the choice depends on. */
+export interface ReaderCandidate {
   readonly nodeId: string;
   readonly zone: string;
-  /** Share of a processor core, in thousandths: the most capable of a zone read. */
+  /** CPU capacity in thousandths of a core; the routers with the most are chosen first. */
   readonly capacity: number;
 }
 
-/** How many routers read. */
+/** How many routers read the store directly. */
 export interface ReaderPolicy {
-  /** In a group of this size or less every router reads the store itself. */
+  /** Up to this group size every router reads the store directly. */
   readonly directGroupSize: number;
-  /** Routers of a group for which one of them reads. */
+  /** Number of routers per reader. */
   readonly routersPerReader: number;
   readonly minimumReaders: number;
 }
 
 /**
- * The readers among the members; all members of a small group. They are spread over the zones: none has
- * two more of them than another that has members left.
+ * Returns the readers among the members; all members of a small group. The readers are spread over
+ * the zones: their numbers differ by at most one, except for zones without further members.
  */
-export function chooseReaders<Member extends GroupPlace>(
+export function chooseReaders<Member extends ReaderCandidate>(
   members: readonly Member[],
   policy: ReaderPolicy,
 ): Member[] {
@@ -33,7 +34,7 @@
   const bySize = Math.ceil(members.length / policy.routersPerReader);
   const wanted = Math.min(members.length, Math.max(policy.minimumReaders, bySize));
   const zones = [...membersByZone(members).values()];
-  // Zones with the most capable members come first.
+  // Zones with the highest-capacity members come first.
   zones.sort((left, right) => byCapability(left[0] as Member, right[0] as Member));
   const readers: Member[] = [];
   for (let rank = 0; readers.length < wanted; rank += 1) {
@@ -44,13 +45,14 @@
 }
 
 /**
- * The reader that a router should ask, one of its own zone where there is any; undefined where it reads
- * the store itself, because it is a reader or because no reader is left that is not avoided.
+ * Returns the reader that a router should query, preferably one of its own zone; undefined if the
+ * router reads the store directly, because it is a reader itself or because all readers are
+ * avoided.
  *
- * @param readers what {@link chooseReaders} answers for these members
+ * @param readers the result of {@link chooseReaders} for these members
  */
-export function readerFor<Member extends GroupPlace>(
-  own: GroupPlace,
+export function readerFor<Member extends ReaderCandidate>(
+  own: ReaderCandidate,
   members: readonly Member[],
   policy: ReaderPolicy,
   isAvoided: (nodeId: string) => boolean,
@@ -61,20 +63,20 @@
   const usable = readers.filter((reader) => !isAvoided(reader.nodeId));
   const near = usable.filter((reader) => reader.zone === own.zone);
   const choices = near.length > 0 ? near : usable;
-  const place = members.filter(({ nodeId }) => nodeId < own.nodeId).length;
-  return choices[place % Math.max(1, choices.length)];
+  const position = members.filter(({ nodeId }) => nodeId < own.nodeId).length;
+  return choices[position % Math.max(1, choices.length)];
 }
 
-/** The most capable first, then by identifier, so that all routers order alike. */
+/** Orders by descending capacity, then by identifier; the same at all routers. */
 export function byCapability(
-  left: Pick<GroupPlace, 'nodeId' | 'capacity'>,
-  right: Pick<GroupPlace, 'nodeId' | 'capacity'>,
+  left: Pick<ReaderCandidate, 'nodeId' | 'capacity'>,
+  right: Pick<ReaderCandidate, 'nodeId' | 'capacity'>,
 ): number {
   return right.capacity - left.capacity || (left.nodeId < right.nodeId ? -1 : 1);
 }
 
-/** The members of each zone, the most capable first. */
-function membersByZone<Member extends GroupPlace>(
+/** The members of each zone, by descending capacity. */
+function membersByZone<Member extends ReaderCandidate>(
   members: readonly Member[],
 ): Map<string, Member[]> {
   const byZone = new Map<string, Member[]>();
--- a/src/state/routing/traffic-split.ts
+++ b/src/state/routing/traffic-split.ts
@@ -1,11 +1,14 @@
-/** Divides the requests of a route over its services by weight, evenly even over short spans. */
+/** Distributes the requests of a route over its services by weight. */
 import type { Route } from './configuration.js';
 
-/** Smooth weighted round robin: each choice raises every target by its weight, the highest wins. */
+/**
+ * Smooth weighted round robin: each choice adds its weight to the credit of every target and
+ * selects the target with the highest credit. The shares hold over short periods too.
+ */
 export class TrafficSplit {
   private readonly creditByRoute = new Map<string, Map<string, number>>();
 
-  /** The service of the route's next request. */
+  /** Returns the service for the next request of the route. */
   next(route: Route): string | undefined {
     if (route.targets.length <= 1) return route.targets[0]?.service;
     const credits = this.creditsOf(route);
@@ -25,7 +28,7 @@
     return chosen;
   }
 
-  /** Forgets routes that the configuration no longer holds. */
+  /** Drops the state of routes that are no longer configured. */
   retain(routeNames: ReadonlySet<string>): void {
     for (const name of this.creditByRoute.keys()) {
       if (!routeNames.has(name)) this.creditByRoute.delete(name);
--- a/src/state/routing/weight-lease.ts
+++ b/src/state/routing/weight-lease.ts
@@ -1,50 +1,53 @@
 /**
- * The lease on giving orders to engines, as one router sees it.
+ * The lease for sending load commands to engines. Its holder is the coordinator.
  *
- * One object in the store names the holder and a fencing token. The holder writes the object anew
- * before each batch of orders and gives orders only for a short while after that call began. Whoever
- * takes over has seen the object unchanged for the lease time and that while, so the last order of
- * the old holder is a lease time old. The holder reports the position of its last write to the others:
- * whoever heard it knows the object unchanged since then, without reading it meanwhile.
+ * One object in the store names the holder and a fencing token. The holder rewrites the object
+ * before each batch of load commands and sends commands only for a short time (`actMs`) after that
+ * call began. A router takes over after it has seen the object unchanged for the lease time plus
+ * that time, so the last command of the previous holder is at least one lease time old. The holder
+ * reports the position of its last write to the other routers, which then count from that report
+ * without having to read the object meanwhile.
  *
- * The store may come back from an older copy of itself, with an older record or none. A lease of a former era of the store
- * gives no right to act, and nobody takes a lease in a new era before every holder of a former one has ceased to act.
- * Tokens of an era lie above those of all former eras, whatever the record holds.
+ * The store may be restored from an older copy, with an older record or none. A lease of a previous
+ * store era gives no right to act, and no router takes a lease in a new era until every holder of
+ * a previous era has stopped acting. The tokens of an era are above those of all previous
+ * eras, whatever the record holds.
  *
- * Two clocks: how long a router itself may act counts suspensions of its machine, so that it gives no order
- * when it wakes; how long it waits for another holder does not, so that it never takes over early.
+ * Two clocks are used. The time for which a router itself may act includes suspensions of its
+ * machine, so that it sends no command right after it resumes. The time for which it waits for
+ * another holder excludes them, so that it never takes over early.
  */
 import { ElapsedInstant } from '../../runtime/elapsed-instant.js';
 import { StoreEra, StorePosition } from '../../runtime/store-position.js';
 import type { StoreEras } from './store-eras.js';
 
-/** What the object holds. */
+/** Contents of the lease object. */
 export interface LeaseRecord {
   readonly holder: string;
-  /** Tells two lives of one router apart. */
+  /** Distinguishes two incarnations of the same router. */
   readonly life: string;
   readonly fencingToken: number;
 }
 
-/** The object at one position of the store. */
+/** The lease object at one position of the store. */
 export interface LeaseView {
   readonly record: LeaseRecord;
   readonly position: StorePosition;
 }
 
-/** What the router may do next. */
+/** The next step of a router. */
 export enum LeaseStep {
-  /** Nothing is known: read the object. */
+  /** The state is unknown: read the object. */
   Read = 'read',
-  /** There is no object: create it with the first token. */
+  /** The object does not exist: create it with the first token. */
   Create = 'create',
-  /** Write the own record anew. */
+  /** Renew the lease by rewriting the record. */
   Renew = 'renew',
   /** Replace the other holder's record, with a higher token. */
   TakeOver = 'take-over',
-  /** Another holder may still give orders. */
+  /** Another holder may still send load commands. */
   Wait = 'wait',
-  /** Orders may be given now. */
+  /** Load commands may be sent now. */
   Act = 'act',
 }
 
@@ -52,45 +55,45 @@
 export interface LeaseSettings {
   readonly holder: string;
   readonly life: string;
-  /** Holders must not take turns within this time. */
+  /** Minimum time between the last command of one holder and the first of the next. */
   readonly leaseMs: number;
-  /** The holder may act for this long after its last write began. */
+  /** How long the holder may act after its last write began. */
   readonly actMs: number;
 }
 
-/** The position of a write that the holder reported after it. */
-interface HeardWrite {
+/** The position of a write, as reported by the holder. */
+interface ReportedWrite {
   readonly position: StorePosition;
-  readonly heardMs: number;
+  readonly receivedMs: number;
 }
 
-/** An order that its holder gave in time reaches its engine this much later at most. */
-const ORDER_TRANSIT_MS = 500;
-/** Tolerance for clocks that run at different speeds. */
+/** Maximum time until a load command sent in time reaches its engine. */
+const COMMAND_TRANSIT_MS = 500;
+/** Tolerance for clock drift. */
 const CLOCK_MARGIN_MS = 200;
-/** What is known of the object is read again after this long. */
+/** The object is read again after this time. */
 const VIEW_LIFETIME_MS = 1_000;
-/** Tokens of one era; far more holders than there can be between two restorations of the store. */
-const TOKENS_OF_ERA = 2 ** 20;
+/** Size of the token range of one store era; above any number of lease holders in an era. */
+const TOKENS_PER_ERA = 2 ** 20;
 
-/** A moment on both clocks. */
+/** A point in time on both clocks. */
 export interface LeaseTime {
-  /** Steady time, in milliseconds. */
+  /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
-  /** With suspensions counted. */
+  /** Time that includes suspensions of the machine. */
   readonly elapsed: ElapsedInstant;
 }
 
-/** State machine of the lease; every call comes with the time. */
+/** State machine of the lease. Callers pass the time to each call. */
 export class WeightLease {
   private view: LeaseView | undefined;
   private isMissing = false;
   /** Era in which the object was found missing. */
   private missingEra: number = StoreEra.Unknown;
-  private heard: HeardWrite | undefined;
+  private reported: ReportedWrite | undefined;
   private highestToken = 0;
-  /** When a call was answered that showed the present state for the first time. */
-  private firstSeenMs = -Infinity;
+  /** Time from which the wait before a takeover counts. */
+  private waitStartMs = -Infinity;
   private lastReadMs = -Infinity;
   private actUntil = ElapsedInstant.never;
 
@@ -99,18 +102,18 @@
     private readonly eras: StoreEras,
   ) {}
 
-  /** The token of this router; undefined while it does not hold the lease. */
+  /** The fencing token of this router; undefined while it does not hold the lease. */
   get fencingToken(): number | undefined {
     return this.isOwn ? this.view?.record.fencingToken : undefined;
   }
 
-  /** The position of the own last write; undefined while another holds the lease, as far as is known. */
+  /** The position of the own last write; undefined unless this router is the last known holder. */
   get heldPosition(): StorePosition | undefined {
-    const isHeld = this.isOwn && !this.isOutOfDate && !this.isOfFormerEra;
+    const isHeld = this.isOwn && !this.isOutOfDate && !this.isOfPreviousEra;
     return isHeld ? this.position : undefined;
   }
 
-  /** Of the object as it was seen last. */
+  /** Position of the last known state of the object. */
   get position(): StorePosition {
     return this.view?.position ?? StorePosition.start;
   }
@@ -118,19 +121,19 @@
   next(time: LeaseTime): LeaseStep {
     const { nowMs, elapsed } = time;
     if (this.isMissing && this.missingEra === this.eras.newest) {
-      return this.isFormerHolderPossible(nowMs) ? this.wait(nowMs) : LeaseStep.Create;
+      return this.isPreviousHolderPossible(nowMs) ? this.wait(nowMs) : LeaseStep.Create;
     }
     if (!this.view || this.isOutOfDate) return LeaseStep.Read;
-    if (this.isOfFormerEra) {
-      return this.isFormerHolderPossible(nowMs) ? this.wait(nowMs) : this.succeed(nowMs);
+    if (this.isOfPreviousEra) {
+      return this.isPreviousHolderPossible(nowMs) ? this.wait(nowMs) : this.takeOverOrWait(nowMs);
     }
     if (this.isOwn) return elapsed.isBefore(this.actUntil) ? LeaseStep.Act : LeaseStep.Renew;
-    // An earlier life of this router gives no orders any more: no wait is due.
+    // A previous incarnation of this router sends no commands any more, so no wait is needed.
     if (this.view.record.holder === this.settings.holder) return LeaseStep.TakeOver;
-    return this.succeed(nowMs);
+    return this.takeOverOrWait(nowMs);
   }
 
-  /** The record to write for a step that writes. */
+  /** The record to write for a step. */
   recordFor(step: LeaseStep.Create | LeaseStep.Renew | LeaseStep.TakeOver): LeaseRecord {
     const { holder, life } = this.settings;
     const present = this.view?.record.fencingToken ?? 0;
@@ -139,104 +142,109 @@
     return { holder, life, fencingToken };
   }
 
-  /** The holder reported the position of its last write; one of an unknown era can't be compared. */
-  hear(position: StorePosition, heardMs: number): void {
+  /**
+   * Records the position that the holder reported for its last write. Positions of an unknown era
+   * can't be compared and are ignored.
+   */
+  hear(position: StorePosition, receivedMs: number): void {
     if (position.era === StoreEra.Unknown) return;
-    this.eras.note(position.era, heardMs);
-    const known = this.heard?.position ?? StorePosition.start;
-    if (known.isBefore(position)) this.heard = { position, heardMs };
+    this.eras.note(position.era, receivedMs);
+    const known = this.reported?.position ?? StorePosition.start;
+    if (known.isBefore(position)) this.reported = { position, receivedMs };
   }
 
   /**
-   * A read or a conflict showed the object; `undefined`: there is none.
+   * Applies the state of the object that a read or a write conflict returned.
    *
-   * @param era of the answer
+   * @param view undefined if the object does not exist
+   * @param era store era of the response
    */
-  observe(view: LeaseView | undefined, era: number, answeredMs: number): void {
+  observe(view: LeaseView | undefined, era: number, respondedMs: number): void {
     if (era < this.eras.newest) {
-      // The answer was made before the store was restored.
+      // The response predates the restoration of the store.
       this.noteUnanswered();
       return;
     }
-    this.eras.note(era, answeredMs);
-    this.lastReadMs = answeredMs;
+    this.eras.note(era, respondedMs);
+    this.lastReadMs = respondedMs;
     this.isMissing = view === undefined;
     this.missingEra = era;
     if (!view || !this.view?.position.isSame(view.position)) {
-      this.firstSeenMs = this.firstSeenOf(view, answeredMs);
+      this.waitStartMs = this.waitStartOf(view, respondedMs);
       this.actUntil = ElapsedInstant.never;
     }
-    this.take(view);
+    this.setView(view);
   }
 
-  /** The own write was acknowledged. */
-  noteWritten(view: LeaseView, callBegan: LeaseTime): void {
+  /** Applies an acknowledged write of this router. */
+  noteWritten(view: LeaseView, callStart: LeaseTime): void {
     this.isMissing = false;
-    this.take(view);
-    this.firstSeenMs = callBegan.nowMs;
-    this.lastReadMs = callBegan.nowMs;
-    this.actUntil = callBegan.elapsed.plus(this.settings.actMs);
+    this.setView(view);
+    this.waitStartMs = callStart.nowMs;
+    this.lastReadMs = callStart.nowMs;
+    this.actUntil = callStart.elapsed.plus(this.settings.actMs);
   }
 
-  /** A write was not answered: it may be in the store, or come there later. */
+  /** Discards the known state after a write without a response: it may take effect now or later. */
   noteUnanswered(): void {
     this.view = undefined;
     this.isMissing = false;
     this.actUntil = ElapsedInstant.never;
   }
 
-  private take(view: LeaseView | undefined): void {
+  private setView(view: LeaseView | undefined): void {
     this.view = view;
     this.highestToken = Math.max(this.highestToken, view?.record.fencingToken ?? 0);
   }
 
-  private firstSeenOf(view: LeaseView | undefined, answeredMs: number): number {
-    const { heard } = this;
-    if (heard && view?.position.isSame(heard.position)) return heard.heardMs;
-    // The holder may have written until just before the answer was made.
-    return answeredMs;
+  private waitStartOf(view: LeaseView | undefined, respondedMs: number): number {
+    const { reported } = this;
+    if (reported && view?.position.isSame(reported.position)) return reported.receivedMs;
+    // The holder may have written until just before the store responded.
+    return respondedMs;
   }
 
-  /** Takes the lease over once its holder has been silent for long enough. */
-  private succeed(nowMs: number): LeaseStep {
-    return nowMs - this.firstSeenMs >= this.waitMs ? LeaseStep.TakeOver : this.wait(nowMs);
+  /** Takes over the lease once it has been unchanged for the required time. */
+  private takeOverOrWait(nowMs: number): LeaseStep {
+    return nowMs - this.waitStartMs >= this.waitMs ? LeaseStep.TakeOver : this.wait(nowMs);
   }
 
-  /** Waits, and reads what is known anew when it has grown old. */
+  /** Waits; reads the object again once the known state is older than its lifetime. */
   private wait(nowMs: number): LeaseStep {
     return nowMs - this.lastReadMs >= VIEW_LIFETIME_MS ? LeaseStep.Read : LeaseStep.Wait;
   }
 
-  /** From a holder's last write until no order of it can reach an engine, and the lease time. */
+  /** Time from a holder's last write until its last command has arrived, plus the lease time. */
   private get waitMs(): number {
     const { leaseMs, actMs } = this.settings;
-    return leaseMs + actMs + ORDER_TRANSIT_MS + CLOCK_MARGIN_MS;
+    return leaseMs + actMs + COMMAND_TRANSIT_MS + CLOCK_MARGIN_MS;
   }
 
   /**
-   * Whether a router that held the lease in a former era may still act, or have acted within the lease time: its last
-   * write can have been made until this era began.
+   * Whether a holder of a previous era may still act, or may have acted within the lease time. Its
+   * last write can be as recent as the start of this era.
    */
-  private isFormerHolderPossible(nowMs: number): boolean {
+  private isPreviousHolderPossible(nowMs: number): boolean {
     return nowMs - this.eras.changedMs < this.waitMs;
   }
 
-  /** Tokens up to this one were or could have been given out in former eras. */
+  /** Upper bound of the tokens of previous eras. */
   private get tokensBeforeEra(): number {
-    return Math.max(StoreEra.None, this.eras.newest) * TOKENS_OF_ERA;
+    return Math.max(StoreEra.None, this.eras.newest) * TOKENS_PER_ERA;
   }
 
-  /** Whether the record was written in a former era: the copy that the store came back from held it. */
-  private get isOfFormerEra(): boolean {
+  /** Whether the record was written in a previous era and comes from the copy that was restored. */
+  private get isOfPreviousEra(): boolean {
     const record = this.view?.record;
     const hasEras = this.eras.newest > StoreEra.None;
     return hasEras && record !== undefined && record.fencingToken <= this.tokensBeforeEra;
   }
 
-  /** Whether the object is known to have changed since it was seen last, or the store to have been restored. */
+  /** Whether the object has changed since it was last seen, or the store was restored. */
   private get isOutOfDate(): boolean {
-    const isHeardLater = this.heard !== undefined && this.position.isBefore(this.heard.position);
-    return isHeardLater || this.position.era < this.eras.newest;
+    const isReportedNewer =
+      this.reported !== undefined && this.position.isBefore(this.reported.position);
+    return isReportedNewer || this.position.era < this.eras.newest;
   }
 
   private get isOwn(): boolean {
--- a/src/state/routing/weight-load-announcements.ts
+++ b/src/state/routing/weight-load-announcements.ts
@@ -1,62 +1,65 @@
 /**
- * News of engines that take other weights, as a router of a large group passes them on: each router
- * tells what is new to it to a few others, so that the one that gives the orders need not tell all.
+ * Announcements of weight loads, as the routers of a large group relay them. Each router relays
+ * what is new to it to a few others, so that the coordinator does not have to send every
+ * announcement to every router.
  */
 
-/** What a router knows of the weights at an engine before the platform lists it. */
+/** The weights at an engine, announced before the platform lists them. */
 export interface WeightLoadAnnouncement {
   readonly engineId: string;
   readonly model: string;
   readonly version: number;
   /** Whether the engine still refuses work for the model. */
   readonly isLoading: boolean;
-  /** Time since the router that gives the orders found this, in milliseconds. */
+  /** Time since the coordinator observed this state, in milliseconds. */
   readonly ageMs: number;
 }
 
-interface KnownNews {
-  readonly news: Omit<WeightLoadAnnouncement, 'ageMs'>;
-  readonly foundMs: number;
+interface TimedAnnouncement {
+  readonly announcement: Omit<WeightLoadAnnouncement, 'ageMs'>;
+  readonly observedMs: number;
 }
 
-/** News are told for this long after they were found. */
-const TOLD_FOR_MS = 1_500;
-/** News are remembered for this long, so that older ones that come late are known for such. */
-const REMEMBERED_FOR_MS = 15_000;
-/** The same news count as new again if they were found this much later: a load that lasts. */
+/** Announcements are relayed for this long after the state was observed. */
+const RELAY_FOR_MS = 1_500;
+/**
+ * Announcements are retained for this long, so that delayed older ones are recognized as outdated.
+ */
+const RETENTION_MS = 15_000;
+/** A repeated announcement counts as new if the state was observed this much later: a long load. */
 const RENEWAL_MS = 700;
 
-/** The newest news of each engine. */
+/** The newest announcement of each engine. */
 export class WeightLoadAnnouncements {
-  private readonly byEngine = new Map<string, KnownNews>();
-
-  /** Notes news; true where they tell something new. */
-  take({ ageMs, ...news }: WeightLoadAnnouncement, nowMs: number): boolean {
-    const foundMs = nowMs - ageMs;
-    const known = this.byEngine.get(news.engineId);
-    if (known && !isNewer({ news, foundMs }, known)) return false;
-    this.byEngine.set(news.engineId, { news, foundMs });
+  private readonly byEngine = new Map<string, TimedAnnouncement>();
+
+  /** Records an announcement; returns whether it is newer than the last one of its engine. */
+  take({ ageMs, ...announcement }: WeightLoadAnnouncement, nowMs: number): boolean {
+    const observedMs = nowMs - ageMs;
+    const known = this.byEngine.get(announcement.engineId);
+    if (known && !isNewer({ announcement, observedMs }, known)) return false;
+    this.byEngine.set(announcement.engineId, { announcement, observedMs });
     return true;
   }
 
-  /** News that others should be told. */
+  /** Announcements to relay to other routers; drops expired ones. */
   toTell(nowMs: number): WeightLoadAnnouncement[] {
-    const told: WeightLoadAnnouncement[] = [];
-    for (const [engineId, { news, foundMs }] of this.byEngine) {
-      const ageMs = Math.max(0, Math.round(nowMs - foundMs));
-      if (ageMs >= REMEMBERED_FOR_MS) this.byEngine.delete(engineId);
-      else if (ageMs < TOLD_FOR_MS) told.push({ ...news, ageMs });
+    const relayed: WeightLoadAnnouncement[] = [];
+    for (const [engineId, { announcement, observedMs }] of this.byEngine) {
+      const ageMs = Math.max(0, Math.round(nowMs - observedMs));
+      if (ageMs >= RETENTION_MS) this.byEngine.delete(engineId);
+      else if (ageMs < RELAY_FOR_MS) relayed.push({ ...announcement, ageMs });
     }
-    return told;
+    return relayed;
   }
 }
 
-function isNewer(news: KnownNews, known: KnownNews): boolean {
-  const difference = stepOf(news) - stepOf(known);
-  return difference > 0 || (difference === 0 && news.foundMs >= known.foundMs + RENEWAL_MS);
+function isNewer(next: TimedAnnouncement, known: TimedAnnouncement): boolean {
+  const difference = progressOf(next) - progressOf(known);
+  return difference > 0 || (difference === 0 && next.observedMs >= known.observedMs + RENEWAL_MS);
 }
 
-/** An engine takes a version, has it, takes the next. */
-function stepOf({ news }: KnownNews): number {
-  return news.version * 2 + (news.isLoading ? 0 : 1);
+/** Orders the states of an engine: loading a version, serving it, loading the next one. */
+function progressOf({ announcement }: TimedAnnouncement): number {
+  return announcement.version * 2 + (announcement.isLoading ? 0 : 1);
 }
--- a/src/state/routing/weight-rollout.ts
+++ b/src/state/routing/weight-rollout.ts
@@ -1,73 +1,74 @@
-/** Plans which engines take new weights, and when. Pure. */
+/** Plans which engines load new weights, and when. Pure. */
 import { type Engine, versionAt } from './engine-registry.js';
 import type { WeightVersions } from './weight-versions.js';
 
-/** How fast engines take weights. */
+/** Parameters of a rollout. */
 export interface RolloutSettings {
-  /** Time from naming a version until all engines should serve it. */
+  /** Time from the publication of a version until all engines should serve it. */
   readonly graceMs: number;
-  /** Expected time for one batch of engines: running requests end, weights load. */
+  /** Expected time for one batch of engines to finish running requests and load the weights. */
   readonly batchMs: number;
   /** Batches into which the engines of a model are divided. */
   readonly batches: number;
-  /** Kept free at the end. */
+  /** Safety margin before the deadline. */
   readonly marginMs: number;
-  /** Time another router needs to take over from one that fails while it gives orders. */
+  /** Time until another router takes over from a coordinator that fails. */
   readonly handoverMs: number;
-  /** Share of a request's worth that is lost when it begins on replaced weights. */
+  /** Cost of a request that starts on outdated weights, as a share of the value of a request. */
   readonly replacedWeightsLoss: number;
-  /** What a load costs, with the time the engine is out of service, in requests' worth. */
+  /** Cost of one load, including the downtime of the engine, in values of a request. */
   readonly loadCostRequests: number;
 }
 
-/** What a rollout is weighed by. */
+/** Observed rates that decide when a rollout starts. */
 export interface RolloutObservations {
-  /** Requests for the model that the group sends to engines, each second. */
+  /** Rate at which the group sends requests for the model to engines. */
   readonly requestsPerSecond: number;
-  /** Versions of the model that operators name, each second. */
+  /** Rate at which operators publish versions of the model. */
   readonly namesPerSecond: number;
 }
 
-/** Why a rollout goes on now, or waits. */
+/** Why a rollout proceeds or waits. */
 export enum RolloutReason {
-  /** A version named soon may spare more loads than the wait loses. */
+  /** Waiting costs less than the loads that the next version may make unnecessary. */
   Waiting = 'waiting',
-  /** What requests on replaced weights lose is more than what a wait may save. */
+  /** Requests on outdated weights cost more than waiting may save. */
   Worth = 'worth',
-  /** The earliest deadline allows no longer wait. */
+  /** The earliest deadline allows no further delay. */
   Deadline = 'deadline',
 }
 
-/** What to do for one model now. */
+/** The next step of the rollout of one model. */
 export interface RolloutPlan {
   readonly model: string;
   readonly version: number;
   readonly reason: RolloutReason;
-  /** Engines that have older weights. */
+  /** Number of engines with older weights. */
   readonly behind: number;
-  /** Engines to order now: those of the oldest weights first, then the least busy; none while waiting. */
+  /** Engines to load now: oldest weights first, then least busy; empty while waiting. */
   readonly engines: readonly Engine[];
 }
 
-/** What a rollout of one model is planned from. */
+/** The state from which the rollout of one model is planned. */
 export interface RolloutView {
   readonly model: string;
-  /** All that hold the model. */
+  /** All engines that serve the model. */
   readonly engines: readonly Engine[];
   readonly versions: WeightVersions;
   readonly observed: RolloutObservations;
-  /** Whether an engine is being changed by an order that was given. */
+  /** Whether an engine is executing a load command. */
   isLoading(engineId: string): boolean;
-  /** Whether an engine is left alone because it did not take an order; others go first meanwhile. */
+  /** Whether an engine is skipped for a while because it refused a load command. */
   isPaused(engineId: string): boolean;
-  /** Requests under way at an engine. */
+  /** Number of running requests at an engine. */
   requestsAt(engineId: string): number;
 }
 
 /**
- * The engines to order now; undefined where all have the newest weights. A rollout starts at once where requests on replaced weights lose more than
- * a wait may save; otherwise as late as the earliest deadline allows, so that a version named shortly
- * after is met by the same load.
+ * Returns the plan for a model; undefined if all engines have the newest weights. A rollout starts
+ * at once if requests on outdated weights cost more than waiting may save. Otherwise it starts as
+ * late as the earliest deadline allows, so that one load can cover several versions published in
+ * succession.
  */
 export function planRollout(
   view: RolloutView,
@@ -85,22 +86,22 @@
   const batchesLeft = Math.ceil(behind.length / batchSize);
   const rollingMs = batchesLeft * settings.batchMs + settings.handoverMs;
   const isDue = nowMs >= dueMs - settings.marginMs - rollingMs;
-  const isWorth = paysNow(behind.length, active.length, view.observed, settings);
+  const isProfitable = isStartProfitable(behind.length, active.length, view.observed, settings);
   const plan = { model, version: newest, behind: behind.length };
-  if (!isDue && !isWorth) return { ...plan, reason: RolloutReason.Waiting, engines: [] };
-  const reason = isWorth ? RolloutReason.Worth : RolloutReason.Deadline;
-  // Past the deadline the engines behind serve nothing, so there is nothing to spare.
-  const atOnce = nowMs >= dueMs ? behind.length : batchSize;
-  return { ...plan, reason, engines: nextEngines(behind, atOnce, view) };
+  if (!isDue && !isProfitable) return { ...plan, reason: RolloutReason.Waiting, engines: [] };
+  const reason = isProfitable ? RolloutReason.Worth : RolloutReason.Deadline;
+  // Past the deadline outdated engines serve no requests, so all of them can load at once.
+  const batchLimit = nowMs >= dueMs ? behind.length : batchSize;
+  return { ...plan, reason, engines: nextEngines(behind, batchLimit, view) };
 }
 
-/** Engines to order beside those that load already: the oldest weights first, then the least busy. */
-function nextEngines(behind: readonly Engine[], atOnce: number, view: RolloutView): Engine[] {
+/** Selects engines in addition to those already loading: oldest weights first, then least busy. */
+function nextEngines(behind: readonly Engine[], batchLimit: number, view: RolloutView): Engine[] {
   const { model } = view;
   const isLoading = (engine: Engine): boolean => view.isLoading(engine.record.id);
   const loading = behind.filter(isLoading).length;
   const idle = behind.filter((engine) => !isLoading(engine) && !view.isPaused(engine.record.id));
-  const room = atOnce === behind.length ? idle.length : atOnce - loading;
+  const room = batchLimit === behind.length ? idle.length : batchLimit - loading;
   const sorted = idle.sort(
     (left, right) =>
       (versionAt(left, model) ?? 0) - (versionAt(right, model) ?? 0) ||
@@ -110,10 +111,11 @@
 }
 
 /**
- * Whether a second of waiting loses more than it may save: requests at the engines behind lose a share
- * of their worth, and a version named within that second would spare a load of each of them.
+ * Whether a second of waiting costs more than it may save. Requests on outdated engines lose a
+ * share of their value; a version published within that second saves one load of each of these
+ * engines.
  */
-export function paysNow(
+export function isStartProfitable(
   behind: number,
   active: number,
   { requestsPerSecond, namesPerSecond }: RolloutObservations,
@@ -130,6 +132,8 @@
   versions: WeightVersions,
   nowMs: number,
 ): number {
-  const dues = behind.map((engine) => versions.dueMs(model, versionAt(engine, model) ?? 0, nowMs));
-  return Math.min(...dues.map((due) => due ?? Infinity));
+  const deadlinesMs = behind.map((engine) =>
+    versions.dueMs(model, versionAt(engine, model) ?? 0, nowMs),
+  );
+  return Math.min(...deadlinesMs.map((deadlineMs) => deadlineMs ?? Infinity));
 }
--- a/src/state/routing/weight-versions.ts
+++ b/src/state/routing/weight-versions.ts
@@ -1,32 +1,36 @@
-/** The versions of weights that operators have named, and until when older ones may be used. */
+/** The weight versions that operators have published, and how long older ones may be used. */
 
 import type { StoreOutages } from './store-outages.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A version that an operator named. */
-export interface NamedVersion {
+/** A version that an operator published. */
+export interface PublishedVersion {
   readonly version: number;
-  /** When this router, or the one that told it, may first have been able to know of it. */
+  /**
+   * When this router, or the one that announced the version, may first have been able to observe
+   * it.
+   */
   readonly namedMs: number;
   /**
-   * Whether somebody followed the store when the version came; otherwise it was found there later and
-   * its time is a guess.
+   * Whether a router was following the store when the version was published. Otherwise the version
+   * was found later and its time is an estimate.
    */
   readonly isWitnessed: boolean;
 }
 
-/** Versions remembered of each model; older ones are out of their time. */
-const MAXIMUM_REMEMBERED = 16;
+/** Versions retained per model; older ones are past their deadline. */
+const MAXIMUM_VERSIONS = 16;
 
-/** Named versions of all models. */
+/** Published versions of all models. */
 export class WeightVersions {
-  private readonly byModel = new Map<string, NamedVersion[]>();
+  private readonly byModel = new Map<string, PublishedVersion[]>();
 
   /**
-   * @param graceMs time from the naming of a version until older ones may serve no new request, not
-   *   counting the time in which the store is out
-   * @param beginSlackMs for so long after that what was sent before may still begin on them
+   * @param graceMs time from the publication of a version until older ones must not serve new
+   *   requests, excluding outages of the store
+   * @param beginSlackMs additional time in which requests that were sent before may still start on
+   *   them
    */
   constructor(
     private readonly graceMs: number,
@@ -35,22 +39,22 @@
   ) {}
 
   /**
-   * Notes a version; true where it is newer than all known. The time somebody witnessed goes before one
-   * that was guessed, the earlier of two before the later.
+   * Records a version; returns whether it is newer than all known ones. Observed times take
+   * precedence over estimated ones, earlier times over later ones.
    */
-  note(model: string, named: NamedVersion): boolean {
+  note(model: string, published: PublishedVersion): boolean {
     const versions = this.byModel.get(model) ?? [];
     const newest = versions.at(-1)?.version ?? 0;
-    const known = versions.find((each) => each.version === named.version);
+    const known = versions.find((each) => each.version === published.version);
     const others = versions.filter((each) => each !== known);
-    const kept = known ? surer(known, named) : named;
+    const kept = known ? moreReliable(known, published) : published;
     const sorted = [...others, kept].sort((left, right) => left.version - right.version);
-    this.byModel.set(model, sorted.slice(-MAXIMUM_REMEMBERED));
-    return named.version > newest;
+    this.byModel.set(model, sorted.slice(-MAXIMUM_VERSIONS));
+    return published.version > newest;
   }
 
-  /** Versions of a model that somebody saw being named since a moment. */
-  witnessedSince(model: string, sinceMs: number): NamedVersion[] {
+  /** Versions of a model whose publication was observed at or after `sinceMs`. */
+  witnessedSince(model: string, sinceMs: number): PublishedVersion[] {
     const versions = this.byModel.get(model) ?? [];
     return versions.filter(({ isWitnessed, namedMs }) => isWitnessed && namedMs >= sinceMs);
   }
@@ -64,49 +68,53 @@
   }
 
   /**
-   * How often versions are named: from the pauses between those of a span that ends now, in
-   * milliseconds, and from the present pause where it is longer than these.
+   * Estimates the publication rate from the intervals between the versions of the last `spanMs`
+   * milliseconds, and from the time since the last one if that exceeds the mean interval.
    */
   namesPerSecond(model: string, spanMs: number, nowMs: number): number {
-    const named = (this.byModel.get(model) ?? []).filter(({ namedMs }) => namedMs > nowMs - spanMs);
-    const overSpan = named.length / spanMs;
-    const [first, last] = [named[0], named.at(-1)];
+    const published = (this.byModel.get(model) ?? []).filter(
+      ({ namedMs }) => namedMs > nowMs - spanMs,
+    );
+    const overSpan = published.length / spanMs;
+    const [first, last] = [published[0], published.at(-1)];
     if (!first || !last || first === last) return overSpan * MILLISECONDS_PER_SECOND;
-    const pauses = named.length - 1;
-    const meanPauseMs = (last.namedMs - first.namedMs) / pauses;
-    const overdueMs = Math.max(0, nowMs - last.namedMs - meanPauseMs);
-    const byPauses = pauses / Math.max(1, meanPauseMs * pauses + overdueMs);
-    return Math.max(overSpan, byPauses) * MILLISECONDS_PER_SECOND;
+    const intervals = published.length - 1;
+    const meanIntervalMs = (last.namedMs - first.namedMs) / intervals;
+    const overdueMs = Math.max(0, nowMs - last.namedMs - meanIntervalMs);
+    const byIntervals = intervals / Math.max(1, meanIntervalMs * intervals + overdueMs);
+    return Math.max(overSpan, byIntervals) * MILLISECONDS_PER_SECOND;
   }
 
-  /** The lowest version that may still serve a request begun now. */
+  /** The lowest version that may serve a new request. */
   minimum(model: string, nowMs: number): number {
     const versions = this.byModel.get(model) ?? [];
-    const due = versions.filter((named) => nowMs >= this.dueOf(named, nowMs)).at(-1);
+    const due = versions.filter((published) => nowMs >= this.deadlineMsOf(published, nowMs)).at(-1);
     return due?.version ?? 0;
   }
 
   /**
-   * When the first version above `version` must be in force, as far as is known now; undefined where
-   * there is none.
+   * The deadline by which engines must have replaced `version`, extended by the outages so far;
+   * undefined if there is no newer version.
    */
   dueMs(model: string, version: number, nowMs: number): number | undefined {
-    const next = (this.byModel.get(model) ?? []).find((named) => named.version > version);
-    return next && this.dueOf(next, nowMs);
+    const next = (this.byModel.get(model) ?? []).find((published) => published.version > version);
+    return next && this.deadlineMsOf(next, nowMs);
   }
 
-  /** Until when a request that was sent to an engine of a version may begin there; undefined: no end is known. */
+  /**
+   * Until when a request sent to an engine with `version` may start; undefined without a deadline.
+   */
   lastBeginMs(model: string, version: number, nowMs: number): number | undefined {
     const dueMs = this.dueMs(model, version, nowMs);
     return dueMs === undefined ? undefined : dueMs + this.beginSlackMs;
   }
 
-  private dueOf({ namedMs }: NamedVersion, nowMs: number): number {
+  private deadlineMsOf({ namedMs }: PublishedVersion, nowMs: number): number {
     return namedMs + this.graceMs + this.outages.within(namedMs, nowMs);
   }
 }
 
-function surer(left: NamedVersion, right: NamedVersion): NamedVersion {
+function moreReliable(left: PublishedVersion, right: PublishedVersion): PublishedVersion {
   if (left.isWitnessed !== right.isWitnessed) return left.isWitnessed ? left : right;
   return left.namedMs <= right.namedMs ? left : right;
 }
--- a/test/gateway/load-commands.test.ts
+++ b/test/gateway/load-commands.test.ts
@@ -1,4 +1,4 @@
-/** What a router remembers of its orders, and whose turn it is to give them. */
+/** Guards against lost or repeated load commands, and a wrong order of succession. */
 import test from 'ava';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { LoadCommands } from '../../src/state/routing/load-commands.js';
@@ -8,52 +8,52 @@
 
 const MODEL = 'model-a';
 
-test('an engine that takes no order is left alone for longer each time, until one is done', (t) => {
-  const book = new LoadCommands();
+test('the delay after refused load commands doubles up to a maximum, until a load completes', (t) => {
+  const commands = new LoadCommands();
   let nowMs = 0;
-  const pauses: number[] = [];
-  for (let turn = 0; turn < 5; turn += 1) {
-    book.open('engine', MODEL, 2, nowMs);
-    t.true(book.isLoading('engine'));
-    book.giveUp('engine', nowMs);
-    t.is(book.isLoading('engine'), undefined);
-    const beganMs = nowMs;
-    while (book.isPaused('engine', nowMs)) nowMs += 100;
-    pauses.push(nowMs - beganMs);
+  const delaysMs: number[] = [];
+  for (let attempt = 0; attempt < 5; attempt += 1) {
+    commands.open('engine', MODEL, 2, nowMs);
+    t.true(commands.isLoading('engine'));
+    commands.giveUp('engine', nowMs);
+    t.is(commands.isLoading('engine'), undefined);
+    const refusedMs = nowMs;
+    while (commands.isPaused('engine', nowMs)) nowMs += 100;
+    delaysMs.push(nowMs - refusedMs);
   }
-  t.deepEqual(pauses, [400, 800, 1_600, 3_200, 3_200]);
-  book.open('engine', MODEL, 2, nowMs);
-  t.is(book.finish('engine', nowMs + 900), 900);
-  book.giveUp('engine', nowMs + 1_000);
-  t.true(book.isPaused('engine', nowMs + 1_399));
-  t.false(book.isPaused('engine', nowMs + 1_400));
+  t.deepEqual(delaysMs, [400, 800, 1_600, 3_200, 3_200]);
+  commands.open('engine', MODEL, 2, nowMs);
+  t.is(commands.finish('engine', nowMs + 900), 900);
+  commands.giveUp('engine', nowMs + 1_000);
+  t.true(commands.isPaused('engine', nowMs + 1_399));
+  t.false(commands.isPaused('engine', nowMs + 1_400));
 });
 
-test('engines are asked first when the fastest load seen is nearly over', (t) => {
-  const book = new LoadCommands();
-  book.open('first', MODEL, 2, 0);
-  t.is(book.toPoll(399).length, 0);
-  t.is(book.toPoll(400).length, 1);
-  book.finish('first', 1_000);
-  book.open('second', MODEL, 2, 2_000);
-  t.is(book.toPoll(2_899).length, 0);
-  t.is(book.toPoll(2_900).length, 1);
+test('engines are polled first after 90 percent of the fastest observed load', (t) => {
+  const commands = new LoadCommands();
+  commands.open('first', MODEL, 2, 0);
+  t.is(commands.toPoll(399).length, 0);
+  t.is(commands.toPoll(400).length, 1);
+  commands.finish('first', 1_000);
+  commands.open('second', MODEL, 2, 2_000);
+  t.is(commands.toPoll(2_899).length, 0);
+  t.is(commands.toPoll(2_900).length, 1);
 });
 
-test('a load that lasts is told anew each second, and its end for a while', (t) => {
-  const book = new LoadCommands();
-  book.open('engine', MODEL, 2, 0);
-  t.like(book.news(900)[0], { isLoading: true, ageMs: 900 });
-  t.like(book.news(1_100)[0], { isLoading: true, ageMs: 100 });
-  book.finish('engine', 1_200);
-  t.like(book.news(2_000)[0], { isLoading: false, ageMs: 800 });
-  book.expire(3_700);
-  t.deepEqual(book.news(3_700), []);
+test('a load in progress is announced again each second, and its completion until it expires', (t) => {
+  const commands = new LoadCommands();
+  commands.open('engine', MODEL, 2, 0);
+  t.like(commands.news(900)[0], { isLoading: true, ageMs: 900 });
+  t.like(commands.news(1_100)[0], { isLoading: true, ageMs: 100 });
+  commands.finish('engine', 1_200);
+  t.like(commands.news(2_000)[0], { isLoading: false, ageMs: 800 });
+  commands.expire(3_700);
+  t.deepEqual(commands.news(3_700), []);
 });
 
-test('the holder comes first, then the others in their order, while it is silent', (t) => {
+test('the lease holder precedes all other routers, which follow in the order of succession', (t) => {
   const routers = ['a', 'b', 'c', 'd'];
-  const turns = routers.map(
+  const successions = routers.map(
     (own) =>
       new CoordinatorSuccession(
         own,
@@ -61,19 +61,19 @@
         (router) => routers.includes(router),
       ),
   );
-  const before = (): number[] => turns.map((turn) => turn.routersBefore);
-  t.deepEqual(before(), [0, 1, 2, 3]);
-  for (const turn of turns) turn.noteHolder('c', positionAt(7));
-  t.deepEqual(before(), [1, 2, 2, 3]);
-  for (const turn of turns) turn.noteHolder('b', positionAt(5));
-  t.deepEqual(before(), [1, 2, 2, 3]);
-  const [first] = turns;
+  const preceding = (): number[] => successions.map((succession) => succession.routersBefore);
+  t.deepEqual(preceding(), [0, 1, 2, 3]);
+  for (const succession of successions) succession.noteHolder('c', positionAt(7));
+  t.deepEqual(preceding(), [1, 2, 2, 3]);
+  for (const succession of successions) succession.noteHolder('b', positionAt(5));
+  t.deepEqual(preceding(), [1, 2, 2, 3]);
+  const [first] = successions;
   t.is(first?.beginsMs(10_000), 11_000);
   first?.noteOrder(10_500);
   t.is(first?.beginsMs(10_000), 13_000);
 });
 
-test('an incarnation that was replaced does not come back with an old list', (t) => {
+test('an outdated list does not bring back a replaced incarnation', (t) => {
   const registry = new EngineRegistry();
   const record = engineRecord('engine-1', undefined);
   registry.put(record);
--- a/test/gateway/quota-account.test.ts
+++ b/test/gateway/quota-account.test.ts
@@ -1,4 +1,4 @@
-/** The account of a tenant: what it grants over any window, whatever comes and however often it begins anew. */
+/** Guards against tenant accounts that grant more than the limit allows, also after resets. */
 import { fc, testProp } from '@fast-check/ava';
 import test from 'ava';
 import { IsolatedShare } from '../../src/state/routing/quota/isolated-share.js';
@@ -20,7 +20,7 @@
   burst: 29_000,
   undeclaredTokens: 200,
 };
-const SURROUNDINGS = {
+const CONTEXT = {
   tolerance: TOLERANCE,
   reachableShare: 1,
   ownShare: 0.05,
@@ -31,11 +31,11 @@
   LIMIT.burst +
   excessAllowed(LIMIT, TOLERANCE);
 
-/** A request some time after the one before; rarely the account begins anew before it. */
-const STEP = fc.record({
+/** A request after a gap; in rare cases a new account replaces the old one before it. */
+const anyStep = fc.record({
   gapMs: fc.integer({ min: 0, max: 400 }),
   amount: fc.integer({ min: 1, max: 40_000 }),
-  beginsAnew: fc.integer({ min: 0, max: 199 }).map((draw) => draw === 0),
+  isReplaced: fc.integer({ min: 0, max: 199 }).map((draw) => draw === 0),
 });
 
 interface Granted {
@@ -43,37 +43,37 @@
   readonly amount: number;
 }
 
-function usedInWindow(granted: readonly Granted[], untilMs: number): number {
+function grantedInWindow(granted: readonly Granted[], untilMs: number): number {
   return granted
     .filter(({ atMs }) => atMs > untilMs - TOLERANCE.windowMs && atMs <= untilMs)
     .reduce((sum, { amount }) => sum + amount, 0);
 }
 
 testProp(
-  'no window gets more than is allowed, also where an account begins anew twice in it',
-  [fc.array(STEP, { minLength: 50, maxLength: 300 })],
+  'no window exceeds the allowed use, even if the account is replaced twice within it',
+  [fc.array(anyStep, { minLength: 50, maxLength: 300 })],
   (t, steps) => {
     let now = 0;
-    let account = new TenantAccount(LIMIT, SURROUNDINGS, now);
-    let begunMs: number[] = [];
+    let account = new TenantAccount(LIMIT, CONTEXT, now);
+    let replacedMs: number[] = [];
     const granted: Granted[] = [];
-    for (const { gapMs, amount, beginsAnew } of steps) {
+    for (const { gapMs, amount, isReplaced } of steps) {
       now += gapMs;
-      begunMs = begunMs.filter((atMs) => atMs > now - TOLERANCE.windowMs);
-      if (beginsAnew && begunMs.length < 2) {
-        account = new TenantAccount(LIMIT, SURROUNDINGS, now);
-        begunMs.push(now);
+      replacedMs = replacedMs.filter((atMs) => atMs > now - TOLERANCE.windowMs);
+      if (isReplaced && replacedMs.length < 2) {
+        account = new TenantAccount(LIMIT, CONTEXT, now);
+        replacedMs.push(now);
       }
       const { isGranted } = account.charge({ amount, isTaken: false }, now);
       if (isGranted) granted.push({ atMs: now, amount });
-      t.true(usedInWindow(granted, now) <= ALLOWED);
+      t.true(grantedInWindow(granted, now) <= ALLOWED);
     }
   },
   { seed: 17, numRuns: 60 },
 );
 
-test('an account asks to be asked before it is empty, and no longer once it has filled', (t) => {
-  const account = new TenantAccount(LIMIT, SURROUNDINGS, 0);
+test('an account requires queries before it is empty, and stops once it has refilled', (t) => {
+  const account = new TenantAccount(LIMIT, CONTEXT, 0);
   let now = 0;
   while (account.charge({ amount: 5_000, isTaken: false }, now).watchMs === 0) now += 10;
   t.true(account.level(now) > 0);
@@ -83,21 +83,21 @@
   t.is(account.charge({ amount: 1, isTaken: false }, now).watchMs, 0);
 });
 
-test('an account that most routers lose does not keep what filled it meanwhile', (t) => {
-  const account = new TenantAccount(LIMIT, SURROUNDINGS, 0);
+test('an account that is partitioned from most routers is reset', (t) => {
+  const account = new TenantAccount(LIMIT, CONTEXT, 0);
   account.charge({ amount: 1, isTaken: false }, 0);
   const full = account.level(900);
-  account.adapt(LIMIT, { ...SURROUNDINGS, reachableShare: 0.7 }, 900);
+  account.adapt(LIMIT, { ...CONTEXT, reachableShare: 0.7 }, 900);
   t.is(account.level(900), full);
-  account.adapt(LIMIT, { ...SURROUNDINGS, reachableShare: 0.1 }, 900);
+  account.adapt(LIMIT, { ...CONTEXT, reachableShare: 0.1 }, 900);
   const left = account.level(900);
   t.true(left < 0.05 * excessAllowed(LIMIT, TOLERANCE));
-  account.adapt(LIMIT, SURROUNDINGS, 900);
+  account.adapt(LIMIT, CONTEXT, 900);
   t.is(account.level(900), left);
 });
 
-test('callers that are turned away are asked back one after the other', (t) => {
-  const account = new TenantAccount(LIMIT, SURROUNDINGS, 0);
+test('the retry delays of rejected callers are staggered', (t) => {
+  const account = new TenantAccount(LIMIT, CONTEXT, 0);
   account.charge({ amount: 60_000, isTaken: true }, 0);
   const first = account.charge({ amount: 9_000, isTaken: false }, 0);
   const second = account.charge({ amount: 9_000, isTaken: false }, 0);
@@ -106,46 +106,46 @@
   t.is(account.charge({ amount: 500_000, isTaken: false }, 0).retryAfterMs, Infinity);
 });
 
-test('a lower limit takes what is above it, a higher one gives nothing at once', (t) => {
-  const account = new TenantAccount(LIMIT, SURROUNDINGS, 0);
+test('a lower limit reduces the level, a higher one does not raise it at once', (t) => {
+  const account = new TenantAccount(LIMIT, CONTEXT, 0);
   const low = { ...LIMIT, ratePerSecond: 1_000, burst: 1_000 };
-  account.adapt(low, SURROUNDINGS, 0);
+  account.adapt(low, CONTEXT, 0);
   const level = account.level(0);
   t.true(level <= low.burst + excessAllowed(low, TOLERANCE));
-  account.adapt(LIMIT, SURROUNDINGS, 0);
+  account.adapt(LIMIT, CONTEXT, 0);
   t.is(account.level(0), level);
 });
 
-test('a router without an account serves a request larger than its share, and pays for it', (t) => {
+test('an isolated share grants a request larger than itself and stays overdrawn afterwards', (t) => {
   const share = new IsolatedShare(LIMIT, 1 / 79, 0);
   t.true(share.tryTake(9_000, 0));
   t.false(share.tryTake(100, 1_000));
   t.true(share.tryTake(100, 60_000));
 });
 
-test('requests are charged by what they declare, by count where the limit counts requests', (t) => {
+test('requests are charged their declared tokens, or 1 if the limit counts requests', (t) => {
   t.is(chargeOf(LIMIT, 35), 35);
   t.is(chargeOf(LIMIT, undefined), 200);
   t.is(chargeOf({ ...LIMIT, unit: QuotaUnit.Requests }, 35), 1);
 });
 
-test('callers beyond the limit get 429 at once, and nothing of them runs', async (t) => {
+test('requests beyond the limit are rejected with 429 and do not run', async (t) => {
   const limit = { ...LIMIT, ratePerSecond: STREAM_TOKENS, burst: 4 * STREAM_TOKENS };
   const settings = { quotaTolerance: { windowMs: 8_000, overageShare: 0.1, slack: 0 } };
-  const world = await GatewaySimulation.create(61, { tenantLimit: limit, settings });
+  const simulation = await GatewaySimulation.create(61, { tenantLimit: limit, settings });
   const REQUESTS = 60;
   for (let index = 0; index < REQUESTS; index += 1) {
-    world.request(index % 3, 'stream-once', 'tenant-2', 0);
-    await world.clock.advance(20);
+    simulation.request(index % 3, 'stream-once', 'tenant-2', 0);
+    await simulation.clock.advance(20);
   }
-  const denied = world.requests.filter(({ reply }) => reply.own?.status === 429);
+  const denied = simulation.requests.filter(({ reply }) => reply.own?.status === 429);
   t.true(denied.length > REQUESTS / 2);
   for (const { id, reply } of denied) {
     t.true((reply.own?.retryAfterMs ?? 0) > 0);
-    t.false(world.observations.runs.some(({ requestId }) => requestId === id));
+    t.false(simulation.observations.runs.some(({ requestId }) => requestId === id));
   }
-  await world.settle();
-  const ran = world.observations.runs.length * STREAM_TOKENS;
+  await simulation.settle();
+  const ran = simulation.observations.runs.length * STREAM_TOKENS;
   t.true(ran <= 8 * STREAM_TOKENS + 4 * STREAM_TOKENS);
   t.true(ran >= 2 * STREAM_TOKENS);
 });
--- a/test/gateway/rejection.test.ts
+++ b/test/gateway/rejection.test.ts
@@ -1,4 +1,4 @@
-/** When a request is rejected, and when its caller is told to come back. */
+/** Guards against retry delays out of bounds, retry storms and wrong admission decisions. */
 import test from 'ava';
 import fc from 'fast-check';
 import { Rejections } from '../../src/coordination/gateway/rejections.js';
@@ -9,18 +9,18 @@
 import { FinishEstimate, type FinishSample } from '../../src/state/routing/finish-estimate.js';
 import {
   RejectionAdvice,
-  type RejectionFacts,
+  type RejectionContext,
   RejectionReason,
 } from '../../src/state/routing/rejection.js';
-import { ReturnSchedule } from '../../src/state/routing/return-schedule.js';
+import { RetrySchedule } from '../../src/state/routing/return-schedule.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
 const MODEL = 'model-a';
-const SHORTEST_MS = 100;
-const LONGEST_WITH_JITTER_MS = 3_900;
+const MINIMUM_DELAY_MS = 100;
+const MAXIMUM_DELAY_WITH_JITTER_MS = 3_900;
 
-const anyFacts: fc.Arbitrary<RejectionFacts> = fc.record({
+const anyContext: fc.Arbitrary<RejectionContext> = fc.record({
   reason: fc.constantFrom(...Object.values(RejectionReason)),
   priority: fc.integer({ min: 0, max: 9 }),
   finishesPerSecond: fc.double({ min: 0, max: 500, noNaN: true }),
@@ -30,36 +30,39 @@
   hasPeers: fc.boolean(),
 });
 
-test('whatever is known, a caller is told a time within both bounds', (t) => {
+test('retry delays are always within their bounds', (t) => {
   const property = fc.property(
-    fc.array(fc.tuple(anyFacts, fc.integer({ min: 0, max: 400 })), { minLength: 1 }),
+    fc.array(fc.tuple(anyContext, fc.integer({ min: 0, max: 400 })), { minLength: 1 }),
     fc.nat(),
     (rejections, seed) => {
       const advice = new RejectionAdvice(new SeededRandom(seed));
       let nowMs = 0;
-      for (const [facts, pauseMs] of rejections) {
+      for (const [context, pauseMs] of rejections) {
         nowMs += pauseMs;
-        const afterMs = advice.retryAfterMs('service', facts, nowMs);
-        t.true(afterMs >= SHORTEST_MS && afterMs <= LONGEST_WITH_JITTER_MS, `${afterMs}`);
+        const delayMs = advice.retryAfterMs('service', context, nowMs);
+        t.true(
+          delayMs >= MINIMUM_DELAY_MS && delayMs <= MAXIMUM_DELAY_WITH_JITTER_MS,
+          `${delayMs}`,
+        );
       }
     },
   );
   fc.assert(property, { seed: 5, numRuns: 300 });
 });
 
-test('callers of one priority come back no faster than they can be served, until the horizon', (t) => {
+test('retries of one priority are reserved no faster than the given rate, up to the horizon', (t) => {
   const property = fc.property(
     fc.array(fc.integer({ min: 0, max: 40 }), { minLength: 2, maxLength: 80 }),
     fc.integer({ min: 1, max: 200 }),
-    (pausesMs, returnsPerSecond) => {
-      const schedule = new ReturnSchedule();
-      const gapMs = 1_000 / returnsPerSecond;
+    (pausesMs, retriesPerSecond) => {
+      const schedule = new RetrySchedule();
+      const gapMs = 1_000 / retriesPerSecond;
       let nowMs = 0;
       let latestMs = -Infinity;
       for (const pauseMs of pausesMs) {
         nowMs += pauseMs;
         const horizonMs = nowMs + 3_000;
-        const atMs = schedule.book(4, nowMs + 100, returnsPerSecond, horizonMs);
+        const atMs = schedule.reserve(4, nowMs + 100, retriesPerSecond, horizonMs);
         t.true(atMs >= latestMs + gapMs - 1e-6 || atMs === horizonMs);
         latestMs = atMs;
       }
@@ -68,20 +71,20 @@
   fc.assert(property, { seed: 6, numRuns: 300 });
 });
 
-test('the urgent come back before those of less urgency that were turned away earlier', (t) => {
-  const schedule = new ReturnSchedule();
+test('retries of a higher priority precede earlier reservations of lower priorities', (t) => {
+  const schedule = new RetrySchedule();
   const horizonMs = 10_000;
-  const patient = [0, 1, 2, 3].map(() => schedule.book(5, 100, 10, horizonMs));
-  const urgent = schedule.book(1, 100, 10, horizonMs);
-  const nextPatient = schedule.book(5, 100, 10, horizonMs);
-  t.deepEqual(patient, [100, 200, 300, 400]);
-  t.is(urgent, 100);
-  t.is(nextPatient, 500);
+  const lowPriority = [0, 1, 2, 3].map(() => schedule.reserve(5, 100, 10, horizonMs));
+  const highPriority = schedule.reserve(1, 100, 10, horizonMs);
+  const nextLowPriority = schedule.reserve(5, 100, 10, horizonMs);
+  t.deepEqual(lowPriority, [100, 200, 300, 400]);
+  t.is(highPriority, 100);
+  t.is(nextLowPriority, 500);
 });
 
-test('in an outage of the store callers are told to wait the longer the longer it lasts', (t) => {
+test('the retry delay grows with the duration of a store outage', (t) => {
   const advice = new RejectionAdvice({ next: () => 0 });
-  const facts = {
+  const context = {
     reason: RejectionReason.ConfigurationUnproven,
     priority: 1,
     finishesPerSecond: 10,
@@ -89,16 +92,16 @@
     engineWaitMs: 0,
     hasPeers: true,
   };
-  const told = [0, 1_000, 4_000, 60_000].map((storeOutMs) =>
-    advice.retryAfterMs('', { ...facts, storeOutMs }, 0),
+  const delaysMs = [0, 1_000, 4_000, 60_000].map((storeOutMs) =>
+    advice.retryAfterMs('', { ...context, storeOutMs }, 0),
   );
-  t.deepEqual(told, [300, 500, 2_000, 3_000]);
-  // A router that nobody responds to knows nothing of the others: they may well have a proof.
-  t.is(advice.retryAfterMs('', { ...facts, storeOutMs: 60_000, hasPeers: false }, 0), 150);
+  t.deepEqual(delaysMs, [300, 500, 2_000, 3_000]);
+  // Without responding peers the state of the other routers is unknown; they may have a proof.
+  t.is(advice.retryAfterMs('', { ...context, storeOutMs: 60_000, hasPeers: false }, 0), 150);
 });
 
-/** Answers whose first token takes twice the time expected, with a piece each 50 ms for each token. */
-function learnSlowAnswers(
+/** Records responses with twice the expected time to first token, then a token every 50 ms. */
+function recordSlowResponses(
   estimate: Pick<Rejections, 'notePause'>,
   noteEnd: (sample: FinishSample) => void,
 ): void {
@@ -108,17 +111,17 @@
   }
 }
 
-test('the estimate is learnt from answers, and forgotten when they are old', (t) => {
+test('the estimate is computed from recent responses only', (t) => {
   const estimate = new FinishEstimate();
   t.is(estimate.finishMs(MODEL, 1_000, 10, 0), undefined);
-  learnSlowAnswers(estimate, (sample) => estimate.noteEnd(MODEL, sample, 100));
+  recordSlowResponses(estimate, (sample) => estimate.noteEnd(MODEL, sample, 100));
   const finishMs = estimate.finishMs(MODEL, 2_000, 20, 200) ?? 0;
   t.true(Math.abs(finishMs - 5_000) < 1, `${finishMs}`);
   t.is(estimate.finishMs('model-b', 2_000, 20, 200), undefined);
   t.is(estimate.finishMs(MODEL, 2_000, 20, 10_000), undefined);
 });
 
-test('what would end too late is rejected but for a sample', (t) => {
+test('requests estimated to end too late are rejected, except for a sample', (t) => {
   const statistics = new GatewayStatistics();
   const rejections = new Rejections({
     clock: new VirtualClock(),
@@ -127,7 +130,7 @@
     statistics,
     hasPeers: () => true,
   });
-  learnSlowAnswers(rejections, (sample) => rejections.noteEnd(MODEL, sample));
+  recordSlowResponses(rejections, (sample) => rejections.noteEnd(MODEL, sample));
   const registry = new EngineRegistry();
   const record = engineRecord('engine-1', undefined);
   registry.put(record);
--- a/test/gateway/request-quarantine.test.ts
+++ b/test/gateway/request-quarantine.test.ts
@@ -1,4 +1,4 @@
-/** When a request counts as the cause of crashes, what clears it, and what is told to other routers. */
+/** Guards against requests that keep crashing engines, and quarantined unrelated requests. */
 import test from 'ava';
 import fc from 'fast-check';
 import {
@@ -17,7 +17,7 @@
 
 const CRASHES = 3;
 
-test('three engines that crash under a request put it in quarantine, whoever saw them', (t) => {
+test('crashes of three different engines quarantine a request', (t) => {
   const quarantine = new RequestQuarantine();
   const changes = ['engine-0', 'engine-1', 'engine-1', 'engine-2', 'engine-3'].map(
     (engine, index) => quarantine.noteCrash('request', engine, index),
@@ -34,16 +34,16 @@
 
 type Step =
   | { readonly kind: 'crash'; readonly engine: number }
-  | { readonly kind: 'good-end' }
-  | { readonly kind: 'heard' };
+  | { readonly kind: 'success' }
+  | { readonly kind: 'announced' };
 
 const anyStep: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ kind: fc.constant('crash' as const), engine: fc.nat(5) }),
-  fc.constant({ kind: 'good-end' as const }),
-  fc.constant({ kind: 'heard' as const }),
+  fc.constant({ kind: 'success' as const }),
+  fc.constant({ kind: 'announced' as const }),
 );
 
-test('a request is in quarantine just if since its last good end it crashed three engines or was heard of', (t) => {
+test('a request is quarantined if and only if, since its last success, it crashed three engines or was announced', (t) => {
   const property = fc.property(fc.array(anyStep, { maxLength: 30 }), (steps) => {
     const quarantine = new RequestQuarantine();
     let engines = new Set<number>();
@@ -53,7 +53,7 @@
         quarantine.noteCrash('request', `engine-${step.engine}`, atMs);
         engines.add(step.engine);
         isExpected ||= engines.size >= CRASHES;
-      } else if (step.kind === 'heard') {
+      } else if (step.kind === 'announced') {
         quarantine.noteQuarantined('request', atMs);
         isExpected = true;
       } else {
@@ -67,7 +67,7 @@
   fc.assert(property, { seed: 7, numRuns: 500 });
 });
 
-test('notices that are older than a good end do not blame again, in whatever order they come', (t) => {
+test('announcements older than a successful completion have no effect, in any order of arrival', (t) => {
   const quarantine = new RequestQuarantine();
   quarantine.noteCrash('request', 'engine-0', 10);
   quarantine.noteCleared('request', 50);
@@ -78,7 +78,7 @@
   t.false(quarantine.isQuarantined('request'));
 });
 
-test('a flood of requests that broke once pushes none out of quarantine, and is forgotten in time', (t) => {
+test('many suspected requests do not evict a quarantined one, and all entries expire', (t) => {
   const quarantine = new RequestQuarantine();
   for (let engine = 0; engine < CRASHES; engine += 1) {
     quarantine.noteCrash('cause', `engine-${engine}`, 0);
@@ -94,12 +94,12 @@
   t.true(quarantine.isEmpty);
 });
 
-test('each notice goes into four reports, and requests in quarantine are repeated by turns', (t) => {
-  const board = new CrashAnnouncementQueue();
-  board.addCrash('engine-0', ['a', 'b'], 100);
-  board.addClearance('c', 200);
+test('each announcement is in four reports, and quarantined requests are repeated in rotation', (t) => {
+  const queue = new CrashAnnouncementQueue();
+  queue.addCrash('engine-0', ['a', 'b'], 100);
+  queue.addClearance('c', 200);
   const since = new Map(Array.from({ length: 20 }, (_, index) => [`q-${index}`, 0] as const));
-  const reports = Array.from({ length: 6 }, () => board.take(since, 300));
+  const reports = Array.from({ length: 6 }, () => queue.take(since, 300));
   t.deepEqual(
     reports.map(({ crashes }) => crashes.length),
     [1, 1, 1, 1, 0, 0],
@@ -109,37 +109,37 @@
   ]);
   const cleared = reports.flatMap(({ quarantine }) => quarantine.filter((each) => each.isCleared));
   t.is(cleared.length, 4);
-  const told = reports.slice(0, 3).flatMap(({ quarantine }) => quarantine);
-  const named = new Set(
-    told.filter((each) => !each.isCleared).map(({ fingerprint }) => fingerprint),
+  const repeated = reports.slice(0, 3).flatMap(({ quarantine }) => quarantine);
+  const fingerprintsSeen = new Set(
+    repeated.filter((each) => !each.isCleared).map(({ fingerprint }) => fingerprint),
   );
-  t.is(named.size, 20);
-  t.false(board.hasNews);
+  t.is(fingerprintsSeen.size, 20);
+  t.false(queue.hasNews);
 });
 
-test('what several routers found of one crash goes into one notice while it has room', (t) => {
-  const board = new CrashAnnouncementQueue();
+test('crash reports for one engine are merged into one announcement up to its capacity', (t) => {
+  const queue = new CrashAnnouncementQueue();
   const ROUTERS = 20;
   for (let router = 0; router < ROUTERS; router += 1) {
-    board.addCrash('engine-0', [`request-${router}`], router);
+    queue.addCrash('engine-0', [`request-${router}`], router);
   }
-  const reports = Array.from({ length: 5 }, () => board.take(new Map(), ROUTERS));
-  const notices = reports.flatMap(({ crashes }) => crashes);
-  t.is(notices.length, 8);
-  const named = new Set(notices.flatMap(({ fingerprints }) => fingerprints));
-  t.is(named.size, ROUTERS);
-  t.false(board.hasNews);
+  const reports = Array.from({ length: 5 }, () => queue.take(new Map(), ROUTERS));
+  const announcements = reports.flatMap(({ crashes }) => crashes);
+  t.is(announcements.length, 8);
+  const fingerprintsSeen = new Set(announcements.flatMap(({ fingerprints }) => fingerprints));
+  t.is(fingerprintsSeen.size, ROUTERS);
+  t.false(queue.hasNews);
 
-  board.addCrash('engine-1', ['early'], 0);
-  board.addCrash('engine-1', ['late'], 10_000);
-  t.is(board.take(new Map(), 10_000).crashes.length, 2);
+  queue.addCrash('engine-1', ['early'], 0);
+  queue.addCrash('engine-1', ['late'], 10_000);
+  t.is(queue.take(new Map(), 10_000).crashes.length, 2);
 });
 
-test('crash news arrive as they were sent', (t) => {
+test('crash announcements survive encoding and decoding', (t) => {
   const fingerprint = fc
     .uint8Array({ minLength: 16, maxLength: 16 })
     .map((bytes) => Buffer.from(bytes).toString('hex'));
-  const anyNews: fc.Arbitrary<CrashAnnouncements> = fc.record({
+  const anyAnnouncements: fc.Arbitrary<CrashAnnouncements> = fc.record({
     crashes: fc.array(
       fc.record({
         engineId: fc.string(),
@@ -150,8 +150,8 @@
     quarantine: fc.array(fc.record({ fingerprint, isCleared: fc.boolean(), ageMs: fc.nat() })),
   });
   fc.assert(
-    fc.property(anyNews, (news) => {
-      t.deepEqual(decodeCrashAnnouncements(encodeCrashAnnouncements(news)), news);
+    fc.property(anyAnnouncements, (announcements) => {
+      t.deepEqual(decodeCrashAnnouncements(encodeCrashAnnouncements(announcements)), announcements);
     }),
     { seed: 8, numRuns: 100 },
   );
--- a/test/gateway/send-slots.test.ts
+++ b/test/gateway/send-slots.test.ts
@@ -1,4 +1,4 @@
-/** How routers share the requests a second that an engine takes, replayed with far more requests than it takes. */
+/** Guards against routers that together exceed the rate limit of an engine or leave it unused. */
 import test from 'ava';
 import fc from 'fast-check';
 import { EngineLimits } from '../../src/state/routing/engine-limits.js';
@@ -9,32 +9,32 @@
 const WINDOW_MS = 4_000;
 const FULL: SlotInterval = { from: 0, to: 1 };
 
-/** Requests that a group would send to one engine. */
+/** The requests that a group tries to send to one engine. */
 interface Demand {
   readonly routers: number;
   readonly perSecond: number;
   /** Time between two requests at one router, in milliseconds. */
   readonly gapMs: number;
-  readonly forMs: number;
-  /** Before it no router has a request. */
+  readonly durationMs: number;
+  /** Time before the first request, in milliseconds. */
   readonly idleMs: number;
-  /** How far each router's time of day is off, in milliseconds. */
-  readonly clockOffMs: (router: number) => number;
+  /** Clock skew of each router, in milliseconds. */
+  readonly clockSkewMs: (router: number) => number;
 }
 
-/** Moments of the requests that were let through. */
+/** Returns the times of the requests that were sent. */
 function sendAll(demand: Demand): number[] {
-  const { routers, perSecond, gapMs, forMs, idleMs, clockOffMs } = demand;
+  const { routers, perSecond, gapMs, durationMs, idleMs, clockSkewMs } = demand;
   const groups = Array.from({ length: routers }, (_, index) => {
     const limits = new EngineLimits();
     limits.noteNamed(ENGINE, perSecond, 0);
     return { limits, interval: { from: index / routers, to: (index + 1) / routers } };
   });
   const sentMs: number[] = [];
-  for (let nowMs = idleMs; nowMs < forMs; nowMs += gapMs / routers) {
+  for (let nowMs = idleMs; nowMs < durationMs; nowMs += gapMs / routers) {
     const index = Math.round((nowMs * routers) / gapMs) % routers;
     const { limits, interval } = groups[index] as (typeof groups)[number];
-    const view = { wallMs: START_MS + nowMs + clockOffMs(index), interval };
+    const view = { wallMs: START_MS + nowMs + clockSkewMs(index), interval };
     if (!limits.maySend(ENGINE, view)) continue;
     limits.noteSend(ENGINE, view);
     sentMs.push(nowMs);
@@ -42,47 +42,54 @@
   return sentMs;
 }
 
-function fullestWindow(sentMs: readonly number[]): number {
+function maximumInWindow(sentMs: readonly number[]): number {
   const counts = sentMs.map(
     (endMs) => sentMs.filter((atMs) => atMs > endMs - WINDOW_MS && atMs <= endMs).length,
   );
   return Math.max(0, ...counts);
 }
 
-test('a group of any size keeps to a limit in every window, also after it had nothing to send', (t) => {
+test('a group of any size stays within the limit in every window, also after an idle time', (t) => {
   const property = fc.property(
     fc.constantFrom(1, 3, 7, 24, 79, 195),
     fc.double({ min: 0.1, max: 30, noNaN: true }),
     fc.constantFrom(0, 15_000),
     fc.integer({ min: 0, max: 200 }),
-    (routers, perSecond, idleMs, clockErrorMs) => {
+    (routers, perSecond, idleMs, maximumSkewMs) => {
       const sentMs = sendAll({
         routers,
         perSecond,
         gapMs: 200,
-        forMs: 30_000,
+        durationMs: 30_000,
         idleMs,
-        clockOffMs: (router) => ((router * 37) % (clockErrorMs + 1)) - clockErrorMs / 2,
+        clockSkewMs: (router) => ((router * 37) % (maximumSkewMs + 1)) - maximumSkewMs / 2,
       });
       const allowed = (perSecond * WINDOW_MS) / 1_000;
-      t.true(fullestWindow(sentMs) <= 1.5 * allowed + 5);
+      t.true(maximumInWindow(sentMs) <= 1.5 * allowed + 5);
     },
   );
   fc.assert(property, { seed: 7, numRuns: 60 });
 });
 
-test('a group that has enough to send uses nearly all that an engine takes', (t) => {
+test('a group with enough requests uses nearly the whole limit', (t) => {
   for (const routers of [1, 3, 7, 24, 79]) {
     for (const perSecond of [0.5, 1.2, 5]) {
-      const forMs = 60_000;
-      const demand = { routers, perSecond, gapMs: 200, forMs, idleMs: 0, clockOffMs: () => 0 };
-      const share = sendAll(demand).length / ((perSecond * forMs) / 1_000);
+      const durationMs = 60_000;
+      const demand = {
+        routers,
+        perSecond,
+        gapMs: 200,
+        durationMs,
+        idleMs: 0,
+        clockSkewMs: () => 0,
+      };
+      const share = sendAll(demand).length / ((perSecond * durationMs) / 1_000);
       t.true(share > 0.85 && share < 1.15, `${routers} routers, ${perSecond} a second: ${share}`);
     }
   }
 });
 
-test('routers use turns in proportion to their intervals', (t) => {
+test('routers get slots in proportion to their intervals', (t) => {
   const count = ({ from, to }: SlotInterval): number => {
     const limits = new EngineLimits();
     limits.noteNamed(ENGINE, 10, 0);
@@ -101,7 +108,7 @@
   t.true(Math.abs(large - 120) <= 4, `${large}`);
 });
 
-test('a router without an interval sends a limited engine nothing, and others as before', (t) => {
+test('a router without an interval sends no requests to a limited engine, but does to others', (t) => {
   const limits = new EngineLimits();
   limits.noteNamed(ENGINE, 5, 0);
   const view = { wallMs: START_MS, interval: undefined };
@@ -111,7 +118,7 @@
   t.is(limits.waitMs('engine-2', view), 0);
 });
 
-test('a time of day that steps back costs no more than a turn twice, and does not stop the turns', (t) => {
+test('a wall clock that is set back neither stops the slots nor repeats more than one', (t) => {
   const limits = new EngineLimits();
   limits.noteNamed(ENGINE, 2, 0);
   const sendAt = (wallMs: number): boolean => {
@@ -127,19 +134,19 @@
   t.true(sent >= 7 && sent <= 9, `${sent}`);
 });
 
-test('an engine that takes nothing is tried now and then', (t) => {
+test('an engine with a limit of 0 is probed at a low rate', (t) => {
   const sentMs = sendAll({
     routers: 3,
     perSecond: 0,
     gapMs: 100,
-    forMs: 30_000,
+    durationMs: 30_000,
     idleMs: 0,
-    clockOffMs: () => 0,
+    clockSkewMs: () => 0,
   });
   t.true(sentMs.length >= 4 && sentMs.length <= 8, `${sentMs.length}`);
 });
 
-test('the wait that a caller is told ends when a turn is due', (t) => {
+test('the reported wait ends when a slot is due', (t) => {
   const property = fc.property(
     fc.double({ min: 0.3, max: 20, noNaN: true }),
     fc.integer({ min: 0, max: 100_000 }),
--- a/test/gateway/weight-lease.test.ts
+++ b/test/gateway/weight-lease.test.ts
@@ -1,4 +1,4 @@
-/** The lease on orders: holders never take turns within the lease time, whatever is heard and lost. */
+/** Guards against two routers that send load commands within one lease time. */
 import test from 'ava';
 import fc from 'fast-check';
 import { StoreEra } from '../../src/runtime/store-position.js';
@@ -10,9 +10,9 @@
 const LEASE_MS = 3_000;
 const ACT_MS = 500;
 const SEED = { seed: 5, numRuns: 400 };
-/** An order given at the last moment may reach its engine this much later. */
+/** Maximum time until a load command reaches its engine. */
 const TRANSIT_MS = 500;
-/** A holder's write reaches the store, and its word the standby, this much later. */
+/** Delay until a write reaches the store and its announcement reaches the standby. */
 const DELAY_MS = 2;
 
 function leaseOf(holder: string): WeightLease {
@@ -22,13 +22,13 @@
   );
 }
 
-test('a successor takes over only after the lease time has passed since the last order', (t) => {
-  // Pauses between the holder's writes, and whether each write's news reach the standby.
+test('a successor takes over only after the lease time has passed since the last command', (t) => {
+  // Pauses between the holder's writes, and whether the standby receives the announcement of each.
   const writes = fc.array(fc.tuple(fc.integer({ min: 100, max: 5_000 }), fc.boolean()), {
     minLength: 1,
     maxLength: 8,
   });
-  const property = fc.property(writes, fc.integer({ min: 0, max: 9_000 }), (plan, looksMs) => {
+  const property = fc.property(writes, fc.integer({ min: 0, max: 9_000 }), (plan, startMs) => {
     const standby = leaseOf('standby');
     const record = { holder: 'holder', life: 'holder', fencingToken: 1 };
     const written: number[] = [];
@@ -39,10 +39,10 @@
     }
     const revisionAt = (timeMs: number): number =>
       written.filter((each) => each + DELAY_MS <= timeMs).length;
-    for (let timeMs = looksMs; timeMs < 60_000; timeMs += 10) {
-      plan.forEach(([, isHeard], index) => {
-        const heardMs = (written[index] ?? 0) + DELAY_MS;
-        if (isHeard && heardMs > timeMs - 10 && heardMs <= timeMs)
+    for (let timeMs = startMs; timeMs < 60_000; timeMs += 10) {
+      plan.forEach(([, isReceived], index) => {
+        const receivedMs = (written[index] ?? 0) + DELAY_MS;
+        if (isReceived && receivedMs > timeMs - 10 && receivedMs <= timeMs)
           standby.hear(positionAt(index + 1), timeMs);
       });
       const step = standby.next(leaseTimeAt(timeMs));
@@ -54,7 +54,7 @@
           timeMs,
         );
       } else if (step === LeaseStep.TakeOver) {
-        // The write is refused where the holder has written since.
+        // The write conflicts if the holder has written since.
         if (standby.position.revision !== revision)
           standby.observe({ record, position: positionAt(revision) }, StoreEra.None, timeMs);
         else {
@@ -67,12 +67,12 @@
         standby.observe({ record, position: positionAt(revision) }, StoreEra.None, timeMs);
       }
     }
-    t.fail('nobody took over');
+    t.fail('no router took over');
   });
   fc.assert(property, SEED);
 });
 
-test('a revision that was heard counts from then on, without a look at the store meanwhile', (t) => {
+test('the wait counts from the announcement of a write, without a read of the store meanwhile', (t) => {
   const standby = leaseOf('standby');
   const view = {
     record: { holder: 'holder', life: 'holder', fencingToken: 1 },
@@ -84,7 +84,7 @@
   t.is(standby.next(leaseTimeAt(5_200)), LeaseStep.TakeOver);
 });
 
-test('without word of the holder the wait counts from the first look', (t) => {
+test('without announcements of the holder the wait counts from the first read', (t) => {
   const standby = leaseOf('standby');
   const view = {
     record: { holder: 'holder', life: 'holder', fencingToken: 1 },
@@ -96,7 +96,7 @@
   t.is(standby.next(leaseTimeAt(9_200)), LeaseStep.TakeOver);
 });
 
-test('a holder that hears of a newer write gives no orders', (t) => {
+test('a holder that receives the announcement of a newer write stops acting', (t) => {
   const holder = leaseOf('holder');
   holder.observe(undefined, StoreEra.None, 0);
   const record = holder.recordFor(LeaseStep.Create);
--- a/test/gateway/weight-load-announcements.test.ts
+++ b/test/gateway/weight-load-announcements.test.ts
@@ -1,4 +1,4 @@
-/** How news of weights spread in a large group, and which of two news counts. */
+/** Guards against announcements that are lost, sent too often or overridden by older ones. */
 import test from 'ava';
 import fc from 'fast-check';
 import { GroupMembership } from '../../src/coordination/gateway/group-membership.js';
@@ -22,7 +22,7 @@
 const MODEL = 'model-a';
 const ROUTERS = 40;
 
-function newsOf(
+function announcementOf(
   engineId: string,
   version: number,
   isLoading: boolean,
@@ -31,32 +31,32 @@
   return { engineId, model: MODEL, version, isLoading, ageMs };
 }
 
-test('whatever the order of arrival, the last step of an engine stays', (t) => {
+test('the latest state of an engine prevails in any order of arrival', (t) => {
   const step = fc.record({ version: fc.integer({ min: 1, max: 4 }), isLoading: fc.boolean() });
   const property = fc.property(fc.array(step, { minLength: 1, maxLength: 12 }), (steps) => {
-    const board = new WeightLoadAnnouncements();
+    const announcements = new WeightLoadAnnouncements();
     for (const { version, isLoading } of steps) {
-      board.take(newsOf('engine', version, isLoading), 1_000);
+      announcements.take(announcementOf('engine', version, isLoading), 1_000);
     }
-    const rank = ({ version, isLoading }: (typeof steps)[number]): number =>
+    const progress = ({ version, isLoading }: (typeof steps)[number]): number =>
       version * 2 + (isLoading ? 0 : 1);
-    const last = steps.reduce((best, each) => (rank(each) > rank(best) ? each : best));
-    const [told] = board.toTell(1_000);
-    t.is(told?.version, last.version);
-    t.is(told?.isLoading, last.isLoading);
+    const last = steps.reduce((best, each) => (progress(each) > progress(best) ? each : best));
+    const [relayed] = announcements.toTell(1_000);
+    t.is(relayed?.version, last.version);
+    t.is(relayed?.isLoading, last.isLoading);
   });
   fc.assert(property, { seed: 3, numRuns: 200 });
 });
 
-test('news are told for a while, and the same news again only from a load that lasts', (t) => {
-  const board = new WeightLoadAnnouncements();
-  t.true(board.take(newsOf('engine', 2, true), 0));
-  t.false(board.take(newsOf('engine', 2, true, 300), 300));
-  t.true(board.take(newsOf('engine', 2, true), 1_000));
-  t.is(board.toTell(2_000).length, 1);
-  t.is(board.toTell(2_600).length, 0);
-  t.false(board.take(newsOf('engine', 1, false), 2_700));
-  t.true(board.take(newsOf('engine', 2, false), 2_700));
+test('announcements are relayed for a limited time, and renewed only by a load in progress', (t) => {
+  const announcements = new WeightLoadAnnouncements();
+  t.true(announcements.take(announcementOf('engine', 2, true), 0));
+  t.false(announcements.take(announcementOf('engine', 2, true, 300), 300));
+  t.true(announcements.take(announcementOf('engine', 2, true), 1_000));
+  t.is(announcements.toTell(2_000).length, 1);
+  t.is(announcements.toTell(2_600).length, 0);
+  t.false(announcements.take(announcementOf('engine', 1, false), 2_700));
+  t.true(announcements.take(announcementOf('engine', 2, false), 2_700));
 });
 
 /** Counts the datagrams that one router sends. */
@@ -85,7 +85,7 @@
 interface Peer {
   readonly group: GroupMembership;
   readonly transport: CountingTransport;
-  readonly heard: WeightLoadAnnouncement[];
+  readonly received: WeightLoadAnnouncement[];
   own: WeightLoadAnnouncement[];
 }
 
@@ -97,11 +97,11 @@
     const name = `router-${index}`;
     network.attach(name, new HostClock(clock));
     const transport = new CountingTransport(new SimulatedDatagramTransport(sockets, name));
-    const heard: WeightLoadAnnouncement[] = [];
-    const peer = { transport, heard, own: [] as WeightLoadAnnouncement[] };
+    const received: WeightLoadAnnouncement[] = [];
+    const peer = { transport, received, own: [] as WeightLoadAnnouncement[] };
     const events = silentGroupEvents({
       weightsNews: () => peer.own,
-      onWeightsNews: (news) => heard.push(news),
+      onWeightsNews: (announcement) => received.push(announcement),
     });
     const address = `${name}:7000`;
     const identity = {
@@ -128,7 +128,7 @@
   return peers;
 }
 
-test('in a large group all hear of a load soon, though its origin tells only a few', async (t) => {
+test('in a large group an announcement reaches all routers, though its origin sends it to a few', async (t) => {
   const clock = new VirtualClock();
   const peers = await largeGroup(clock);
   const origin = peers[0] as Peer;
@@ -136,18 +136,18 @@
   const sentBefore = origin.transport.sent;
   const ENGINES = 16;
   for (let index = 0; index < ENGINES; index += 1) {
-    origin.own = [...origin.own, newsOf(`engine-${index}`, 2, true)];
+    origin.own = [...origin.own, announcementOf(`engine-${index}`, 2, true)];
     origin.group.reportNow();
   }
   await clock.advance(100);
-  // One announcement for all sixteen orders, beside reports and probes of that time.
+  // One announcement for all sixteen loads, in addition to reports and probes.
   t.true(origin.transport.sent - sentBefore <= 20, `${origin.transport.sent - sentBefore}`);
   await clock.advance(500);
-  for (const { heard } of peers.slice(1)) t.is(heard.length, ENGINES);
+  for (const { received } of peers.slice(1)) t.is(received.length, ENGINES);
   for (const { group } of peers) group.stop();
 });
 
-test('what was to be told before a router joined does not keep it from telling news later', async (t) => {
+test('a report requested before a router joined does not suppress later announcements', async (t) => {
   const clock = new VirtualClock();
   const sockets = new SimulatedSockets(new SimulatedNetwork(clock, new SeededRandom(1)));
   const host = new HostClock(clock);
@@ -197,8 +197,8 @@
   group.start();
   other.start();
   await clock.advance(1_000);
-  const before = transport.sent;
+  const sentBefore = transport.sent;
   group.reportNow();
   await clock.advance(8);
-  t.is(transport.sent, before + 1);
+  t.is(transport.sent, sentBefore + 1);
 });
--- a/test/gateway/weight-rollout.test.ts
+++ b/test/gateway/weight-rollout.test.ts
@@ -1,4 +1,4 @@
-/** When engines take new weights, and which ones first. */
+/** Guards against rollouts that start too late or too early, or load too many engines at once. */
 import test from 'ava';
 import { type Engine } from '../../src/state/routing/engine-registry.js';
 import { SendRate } from '../../src/state/routing/send-rate.js';
@@ -57,7 +57,7 @@
   };
 }
 
-test('engines of the oldest weights are ordered first, then the least busy', (t) => {
+test('engines with the oldest weights load first, then the least busy', (t) => {
   const engines = enginesOf([2, 1, 2, 1, 1, 2, 2, 2]);
   const requests = new Map([
     ['engine-1', 9],
@@ -71,13 +71,13 @@
   );
 });
 
-test('a rollout starts at once where requests on replaced weights lose more than a load costs', (t) => {
+test('a rollout starts at once if requests on outdated weights cost more than a load', (t) => {
   const plan = planRollout(viewOf(enginesOf([2, 2, 2, 2]), BUSY), SETTINGS, 4_000);
   t.is(plan?.reason, RolloutReason.Worth);
   t.is(plan?.version, 3);
 });
 
-test('where little is asked a rollout waits, but leaves time for another router to take over', (t) => {
+test('with few requests a rollout waits, but leaves time for another router to take over', (t) => {
   const view = viewOf(enginesOf([2, 2, 2, 2]), IDLE);
   const early = planRollout(view, SETTINGS, 4_000);
   t.is(early?.reason, RolloutReason.Waiting);
@@ -88,8 +88,8 @@
   t.is(planRollout(view, SETTINGS, latestMs)?.reason, RolloutReason.Deadline);
 });
 
-test('no more engines load at once than a share of those that serve', (t) => {
-  for (const [engines, atOnce] of [
+test('the number of engines that load at once is limited to a share of the active ones', (t) => {
+  for (const [engines, batchLimit] of [
     [1, 1],
     [3, 1],
     [7, 2],
@@ -99,11 +99,11 @@
   ] as const) {
     const behind = enginesOf(Array.from({ length: engines }, () => 2));
     const observed = { requestsPerSecond: 10 * engines, namesPerSecond: 0.25 };
-    t.is(planRollout(viewOf(behind, observed), SETTINGS, 4_000)?.engines.length, atOnce);
+    t.is(planRollout(viewOf(behind, observed), SETTINGS, 4_000)?.engines.length, batchLimit);
   }
 });
 
-test('the rate of requests is the mean of the last whole spans', (t) => {
+test('the request rate is the mean over the last complete spans', (t) => {
   const rate = new SendRate();
   for (let nowMs = 0; nowMs < 6_000; nowMs += 100) rate.note(MODEL, 1, nowMs);
   t.is(rate.perSecond(MODEL, 6_000), 10);
@@ -112,23 +112,23 @@
   t.is(rate.perSecond('another', 6_000), 0);
 });
 
-test('engines that load already take the places of a batch', (t) => {
+test('engines that are already loading count towards the batch size', (t) => {
   const view = viewOf(enginesOf([2, 2, 2, 2, 2, 2, 2, 2]), BUSY);
   const loadingOne = { ...view, isLoading: (engineId: string) => engineId === 'engine-0' };
   const ids = (nowMs: number): (string | undefined)[] | undefined =>
     planRollout(loadingOne, SETTINGS, nowMs)?.engines.map(({ record }) => record.id);
   t.deepEqual(ids(5_000), ['engine-1']);
-  // Past the deadline there is nothing to spare.
+  // Past the deadline the batch size does not apply.
   t.is(ids(14_000)?.length, 7);
   const loadingAll = { ...view, isLoading: () => true };
   t.deepEqual(planRollout(loadingAll, SETTINGS, 5_000)?.engines, []);
 });
 
-test('where all engines have the newest weights there is nothing to plan', (t) => {
+test('there is no plan if all engines have the newest weights', (t) => {
   t.is(planRollout(viewOf(enginesOf([3, 3]), BUSY), SETTINGS, 5_000), undefined);
 });
 
-test('an engine that does not take orders holds no place of a batch', (t) => {
+test('an engine that refuses load commands does not count towards the batch size', (t) => {
   const view = viewOf(enginesOf([1, 1, 2, 2, 2, 2, 2, 2]), BUSY);
   const paused = new Set(['engine-0', 'engine-1']);
   const plan = planRollout(
