--- a/src/state/routing/rejection.ts
+++ b/src/state/routing/rejection.ts
@@ -13,9 +13,7 @@
   ConfigurationUnproven = 'configuration-unproven',
   /** The route refers to no service of the configuration. */
   NoService = 'no-service',
-  /**
-   * Every engine of the service drains, loads weights, failed this request or has outdated weights.
-   */
+  /** Every engine drains, loads weights, failed this request or has outdated weights. */
   NoEngine = 'no-engine',
   /** Every eligible engine asked this router to back off. */
   EnginesBackingOff = 'engines-backing-off',
@@ -43,9 +41,7 @@
   readonly finishesPerSecond: number;
   /** By how much the estimated end exceeds the deadline; 0 without an estimate. */
   readonly excessMs: number;
-  /**
-   * Time until the first backing-off or rate-limited engine accepts a request; 0 if there is none.
-   */
+  /** Time until the first backing-off or rate-limited engine accepts a request; 0 if none does. */
   readonly engineWaitMs: number;
   /** How long the store has been unavailable; 0 while it is available. */
   readonly storeOutMs: number;
--- a/src/state/routing/request-fingerprint.ts
+++ b/src/state/routing/request-fingerprint.ts
@@ -4,7 +4,8 @@
  *
  * SHA-256 prevents callers from crafting a request with the fingerprint of another one. The tenant
  * is part of the hash, so requests of two tenants never share a fingerprint. Fingerprints are
- * computed only while crashes are under suspicion, see {@link RequestQuarantine}.
+ * computed only for requests that an engine crash interrupted, and while the quarantine has
+ * entries.
  */
 import { createHash } from 'node:crypto';
 
--- a/src/state/routing/request-quarantine.ts
+++ b/src/state/routing/request-quarantine.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks requests that were running on engines when these crashed, by fingerprint. A request that
- * was running at several crashes of different engines and never completed successfully is
- * quarantined as the probable cause: it is not sent to any engine again. Pure; bounded in entries
+ * was running at the crashes of several engines and never completed successfully is quarantined as
+ * the probable cause: it is not sent to any engine again. Pure; bounded in entries
  * and time.
  *
  * A crash interrupts every request on the engine, most of which did not cause it. They are not
--- a/src/state/routing/shared-retry-budget.ts
+++ b/src/state/routing/shared-retry-budget.ts
@@ -13,9 +13,7 @@
   readonly allowance: number;
 }
 
-/**
- * Share of the budget that is used; the rest covers routers that lost their counts in a restart.
- */
+/** Used share of the budget; the rest covers routers that lost their counts in a restart. */
 const USED_SHARE = 0.6;
 
 /** Counts requests and retries of one service over a sliding window. */
--- a/src/state/routing/weight-versions.ts
+++ b/src/state/routing/weight-versions.ts
@@ -7,10 +7,7 @@
 /** A version that an operator published. */
 export interface PublishedVersion {
   readonly version: number;
-  /**
-   * When this router, or the one that announced the version, may first have been able to observe
-   * it.
-   */
+  /** Earliest time at which this router or the announcing one may have observed the version. */
   readonly namedMs: number;
   /**
    * Whether a router was following the store when the version was published. Otherwise the version
