--- a/src/state/routing/cached-prefixes.ts
+++ b/src/state/routing/cached-prefixes.ts
@@ -1,87 +1,87 @@
 /**
- * Which parts of prompts engines and cache stores keep, as far as this router has heard.
- * A part counts under its salt only, so that other weights or another tenant never match.
+ * Index of the prompt prefixes cached by engines and cache stores, as far as known to this router.
+ * Parts are indexed by salt, so that entries of other weights or tenants never match.
  */
 import type { PromptPart } from './generation.js';
 
-/** Beliefs about all holders. A holder is an engine's incarnation or a store's address. */
+/** Last known cache contents of all holders: engine incarnations and store addresses. */
 export class CachedPrefixes {
-  /** Tokens kept by holder, for each part under its salt. */
+  /** Cached tokens by holder, for each salted part. */
   private readonly holdersByPart = new Map<string, Map<string, number>>();
-  /** Turn in which each part was noted last, by holder. */
+  /** Expiry period in which each part was last recorded, by holder. */
   private readonly partsByHolder = new Map<string, Map<string, number>>();
-  private turn = 0;
-  private reported: ReadonlySet<string> = new Set();
+  private period = 0;
+  private reportingHolders: ReadonlySet<string> = new Set();
 
-  /** Notes that a holder keeps `tokens` of a part; 0 where it dropped the part. */
+  /** Records that a holder has cached `tokens` of a part; 0 if it evicted the part. */
   note(holder: string, salt: string, partId: string, tokens: number): void {
     const key = keyOf(salt, partId);
     if (tokens > 0) this.add(holder, key, tokens);
     else this.drop(holder, key);
   }
 
-  /** Notes that a holder has read a whole prompt. */
+  /** Records that a holder has processed, and so cached, a whole prompt. */
   notePrompt(holder: string, salt: string, parts: readonly PromptPart[]): void {
     for (const part of parts) this.note(holder, salt, part.id, part.tokens);
   }
 
-  /** Tokens of the prompt's beginning by holder; holders of nothing are left out. */
+  /** Length of the cached prefix in tokens by holder; holders without one are omitted. */
   leadingTokens(salt: string, parts: readonly PromptPart[]): Map<string, number> {
     const leading = new Map<string, number>();
-    let unbroken: Iterable<string> | undefined;
+    let fullMatches: Iterable<string> | undefined;
     for (const part of parts) {
-      const kept = this.holdersByPart.get(keyOf(salt, part.id));
-      if (!kept) break;
-      const next: string[] = [];
-      for (const holder of unbroken ?? kept.keys()) {
-        const tokens = Math.min(kept.get(holder) ?? 0, part.tokens);
+      const tokensByHolder = this.holdersByPart.get(keyOf(salt, part.id));
+      if (!tokensByHolder) break;
+      const nextFullMatches: string[] = [];
+      for (const holder of fullMatches ?? tokensByHolder.keys()) {
+        const tokens = Math.min(tokensByHolder.get(holder) ?? 0, part.tokens);
         if (tokens === 0) continue;
         leading.set(holder, (leading.get(holder) ?? 0) + tokens);
-        if (tokens === part.tokens) next.push(holder);
+        if (tokens === part.tokens) nextFullMatches.push(holder);
       }
-      unbroken = next;
+      fullMatches = nextFullMatches;
     }
     return leading;
   }
 
-  /** Forgets a holder: it restarted, left or took other weights. */
+  /** Removes a holder that restarted, left or loaded other weights. */
   forget(holder: string): void {
     for (const key of [...(this.partsByHolder.get(holder)?.keys() ?? [])]) this.drop(holder, key);
     this.partsByHolder.delete(holder);
   }
 
-  /** Forgets all holders that are not listed. */
+  /** Removes all holders that are not listed. */
   retain(holders: ReadonlySet<string>): void {
     for (const holder of [...this.partsByHolder.keys()]) {
       if (!holders.has(holder)) this.forget(holder);
     }
   }
 
-  /** Sets which holders report what they keep and drop; nothing tells that of the others. */
+  /** Sets the holders whose cache events are received; evictions of the others are not observed. */
   setReported(holders: ReadonlySet<string>): void {
-    this.reported = holders;
+    this.reportingHolders = holders;
   }
 
-  /** Whether what is believed of a holder follows its own reports. */
+  /** Whether the cache contents of a holder are known from its own events. */
   isReported(holder: string): boolean {
-    return this.reported.has(holder);
+    return this.reportingHolders.has(holder);
   }
 
   /**
-   * Begins a new turn: of holders that do not report, what was not noted in this turn or the one before
-   * is forgotten, since nothing would tell that they dropped it.
+   * Starts a new expiry period. For holders without events, removes parts that were recorded in
+   * neither the last period nor the one before, since their eviction is not observed.
    */
   expire(): void {
     for (const [holder, parts] of this.partsByHolder) {
       if (this.isReported(holder)) continue;
-      for (const [key, notedTurn] of [...parts]) {
-        if (notedTurn < this.turn) this.drop(holder, key);
+      for (const [key, recordedPeriod] of [...parts]) {
+        if (recordedPeriod < this.period) this.drop(holder, key);
       }
     }
-    this.turn += 1;
+    this.period += 1;
   }
 
-  /** Parts believed kept by one holder. */
+  /** Number of parts cached by a holder. */
   sizeOf(holder: string): number {
     return this.partsByHolder.get(holder)?.size ?? 0;
   }
@@ -98,7 +98,7 @@
       parts = new Map();
       this.partsByHolder.set(holder, parts);
     }
-    parts.set(key, this.turn);
+    parts.set(key, this.period);
   }
 
   private drop(holder: string, key: string): void {
--- a/src/state/routing/collected-loads.ts
+++ b/src/state/routing/collected-loads.ts
@@ -1,11 +1,8 @@
 /**
- * What one router has collected of the work of all that report to it, and what a router knows of others
- * from a summary that contains its own work. Pure.
- *
- * Load pattern: dozens of routers send prompts to the same engines, each knowing only its own. An engine
- * reads a long prompt in 0.2 s, so a router that knows the others' work of a second ago, or of a third of
- * them, sends a prompt behind others that wait already. One router collects the work of all and tells the
- * sums ten times a second.
+ * Aggregates the load reports of routers. Dozens of routers send prompts to the same engines, and
+ * each knows only its own requests; with late or partial knowledge of the others' load, a router
+ * queues prompts behind each other. One router therefore collects the reports of all and publishes
+ * the totals several times a second. Pure.
  */
 import {
   type EngineLoad,
@@ -21,26 +18,26 @@
   readonly sequence: number;
 }
 
-/** The reports of other routers, as the collector keeps them. */
+/** Load reports of other routers, as stored by the collector. */
 export class CollectedLoads {
   private readonly reports = new Map<string, CollectedReport>();
   private latestMs = -Infinity;
 
-  /** Takes a router's report; one that was overtaken by a newer is dropped. */
+  /** Stores a router's report, unless a newer one has arrived. */
   take(router: string, sequence: number, loads: LoadReport, nowMs: number): void {
-    const present = this.reports.get(router);
-    const isFresh = present !== undefined && nowMs - present.receivedMs < REPORT_LIFETIME_MS;
-    if (isFresh && present.sequence >= sequence) return;
+    const previous = this.reports.get(router);
+    const isFresh = previous !== undefined && nowMs - previous.receivedMs < REPORT_LIFETIME_MS;
+    if (isFresh && previous.sequence >= sequence) return;
     this.reports.set(router, { loads, receivedMs: nowMs, sequence });
     this.latestMs = nowMs;
   }
 
-  /** Time since the last report, in milliseconds; Infinity where none came. */
+  /** Time since the last report in milliseconds; Infinity if none was received. */
   silenceMs(nowMs: number): number {
     return nowMs - this.latestMs;
   }
 
-  /** The sums of the reports that are not too old and of the collector's own work. */
+  /** Totals of the unexpired reports and the collector's own load. */
   sums(ownLoads: LoadReport, nowMs: number): Map<string, EngineLoad> {
     const sums = new Map(ownLoads);
     for (const [router, { loads, receivedMs }] of this.reports) {
@@ -52,8 +49,8 @@
 }
 
 /**
- * The engines that a summary names, the busiest first. The others are taken for idle, which is nearly true of
- * them where many are named.
+ * The engines included in a summary, in descending order of load. Receivers treat engines that are
+ * not included as idle.
  */
 export function busiest(sums: LoadReport, count: number): [engine: string, load: EngineLoad][] {
   const entries = [...sums];
@@ -72,35 +69,35 @@
   readonly sentMs: number;
 }
 
-/** A summary can't contain a report that was sent later than this before the summary came. */
-const SHORTEST_WAY_MS = 3;
-const MAXIMUM_REMEMBERED = 8;
+/** Minimum time before a sent report can be reflected in a received summary, in milliseconds. */
+const MINIMUM_TRANSIT_MS = 3;
+const MAXIMUM_SENT_REPORTS = 8;
 
-/** The reports that this router sent lately, to know its own part of a summary. */
+/** Recent reports of this router, used to subtract its own load from a summary. */
 export class SentReports {
   private readonly reports: SentReport[] = [];
 
   note(collector: string, loads: LoadReport, nowMs: number): void {
     this.reports.push({ collector, loads: new Map(loads), sentMs: nowMs });
-    if (this.reports.length > MAXIMUM_REMEMBERED) this.reports.shift();
+    if (this.reports.length > MAXIMUM_SENT_REPORTS) this.reports.shift();
   }
 
-  /** The work of the others in a summary that has just come. */
+  /** Returns the load of the other routers in a summary that was just received. */
   othersOf(collector: string, summary: LoadReport, nowMs: number): LoadReport {
     const own = this.reports.findLast(
-      (report) => report.sentMs <= nowMs - SHORTEST_WAY_MS && report.collector === collector,
+      (report) => report.sentMs <= nowMs - MINIMUM_TRANSIT_MS && report.collector === collector,
     );
     if (!own || nowMs - own.sentMs >= REPORT_LIFETIME_MS) return summary;
     const others = new Map(summary);
     for (const [engine, load] of own.loads) {
-      const present = others.get(engine);
-      if (present) others.set(engine, subtractLoads(present, load));
+      const previous = others.get(engine);
+      if (previous) others.set(engine, subtractLoads(previous, load));
     }
     return others;
   }
 }
 
 function addTo(sums: Map<string, EngineLoad>, engine: string, load: EngineLoad): void {
-  const present = sums.get(engine);
-  sums.set(engine, present ? addLoads(present, load) : load);
+  const previous = sums.get(engine);
+  sums.set(engine, previous ? addLoads(previous, load) : load);
 }
--- a/src/state/routing/crash-announcement-queue.ts
+++ b/src/state/routing/crash-announcement-queue.ts
@@ -1,121 +1,121 @@
 /**
- * What a router announces of crashed engines and of requests in quarantine. Datagrams get lost, so
- * each notice goes into several reports; requests in quarantine are repeated for as long as they are in it,
- * by turns, so that a router that starts or was cut off hears of all of them within seconds.
+ * Queue of announcements about crashed engines and quarantined requests. Reports are sent as
+ * datagrams, which may be lost, so each announcement is repeated in several reports. Quarantined
+ * requests are repeated in rotation for as long as they stay in quarantine, so that a router that
+ * has just started or was partitioned learns all of them within seconds.
  */
 
-/** An engine that crashed, and requests that broke with it. */
+/** An engine crash and the requests that failed with it. */
 export interface EngineCrashAnnouncement {
   readonly engineId: string;
   readonly fingerprints: readonly string[];
-  /** Time since the crash was found, in milliseconds. */
+  /** Time since the crash was detected, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** A request that entered quarantine, or that was cleared. */
+/** A request that entered or left quarantine. */
 export interface QuarantineAnnouncement {
   readonly fingerprint: string;
   readonly isCleared: boolean;
-  /** Time since then, in milliseconds. */
+  /** Time since that change, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What one report carries. */
+/** Announcements carried by one report. */
 export interface CrashAnnouncements {
   readonly crashes: readonly EngineCrashAnnouncement[];
   readonly quarantine: readonly QuarantineAnnouncement[];
 }
 
-interface Pending {
+interface PendingAnnouncement {
   atMs: number;
   remaining: number;
 }
 
-interface PendingCrash extends Pending {
+interface PendingCrash extends PendingAnnouncement {
   readonly engineId: string;
   readonly fingerprints: string[];
 }
 
-interface PendingClearance extends Pending {
+interface PendingClearance extends PendingAnnouncement {
   readonly fingerprint: string;
 }
 
-/** Reports that carry a notice: with a tenth of the datagrams lost, one router in 10,000 hears none. */
-const REPEATS = 4;
+/** Number of reports that carry an announcement from this router. */
+const ANNOUNCEMENT_REPEATS = 4;
 /**
- * Reports that carry a notice which another router sent. In a large group each goes to four routers, so a
- * router is sent a notice eight times in the mean; one in 1,000 hears none where a tenth is lost, and of a
- * request in quarantine it hears all the same.
+ * Number of reports that carry a relayed announcement. Lower than {@link ANNOUNCEMENT_REPEATS}
+ * because several routers relay the same announcement.
  */
-const PASSED_ON_REPEATS = 2;
-/** Of a crash one notice names this many requests at most, so that a report fits one datagram. */
-const FINGERPRINTS_PER_NOTICE = 16;
+const RELAY_REPEATS = 2;
+/** Maximum requests in one crash announcement, so that a report fits into one datagram. */
+const FINGERPRINTS_PER_ANNOUNCEMENT = 16;
 /**
- * Routers find one crash within this time of each other, in milliseconds. Their notices are passed on as one,
- * so that a crash makes a few notices however many routers had requests at the engine.
+ * Detections of the same engine's crash within this time are merged into one announcement, so that
+ * the traffic does not grow with the number of routers that detected it.
  */
 const SAME_CRASH_MS = 250;
 const CRASHES_PER_REPORT = 3;
 const CLEARANCES_PER_REPORT = 8;
-/** Requests in quarantine that each report repeats. */
+/** Quarantined requests repeated in each report. */
 const QUARANTINED_PER_REPORT = 8;
-/** Notices that wait; a loss of all engines at once makes fewer. */
+/** Maximum announcements in each queue; the oldest are dropped first. */
 const MAXIMUM_PENDING = 512;
 
-/** Notices that wait to be announced. */
+/** Pending announcements of crashes and of cleared requests. */
 export class CrashAnnouncementQueue {
   private crashes: PendingCrash[] = [];
   private clearances: PendingClearance[] = [];
-  private turn = 0;
+  private rotation = 0;
 
-  /** Whether there is anything new to announce. */
+  /** Whether any announcement is pending. */
   get hasNews(): boolean {
     return this.crashes.length > 0 || this.clearances.length > 0;
   }
 
-  /** Notes a crash that this router found. */
+  /** Queues a crash detected by this router. */
   addCrash(engineId: string, fingerprints: readonly string[], atMs: number): void {
-    this.putCrash(engineId, fingerprints, atMs, REPEATS);
+    this.enqueueCrash(engineId, fingerprints, atMs, ANNOUNCEMENT_REPEATS);
   }
 
-  /** Notes a crash that another router found, to be passed on. */
+  /** Queues a crash received from another router, to relay it. */
   passOnCrash(engineId: string, fingerprints: readonly string[], atMs: number): void {
-    this.putCrash(engineId, fingerprints, atMs, PASSED_ON_REPEATS);
+    this.enqueueCrash(engineId, fingerprints, atMs, RELAY_REPEATS);
   }
 
-  /** Notes that this router found a request innocent. */
+  /** Queues the clearance of a request by this router. */
   addClearance(fingerprint: string, atMs: number): void {
-    this.putClearance(fingerprint, atMs, REPEATS);
+    this.enqueueClearance(fingerprint, atMs, ANNOUNCEMENT_REPEATS);
   }
 
-  /** Notes that another router did, to be passed on. */
+  /** Queues a clearance received from another router, to relay it. */
   passOnClearance(fingerprint: string, atMs: number): void {
-    this.putClearance(fingerprint, atMs, PASSED_ON_REPEATS);
+    this.enqueueClearance(fingerprint, atMs, RELAY_REPEATS);
   }
 
-  private putCrash(
+  private enqueueCrash(
     engineId: string,
     fingerprints: readonly string[],
     atMs: number,
     remaining: number,
   ): void {
-    const rest = this.joinPresent(engineId, fingerprints, atMs, remaining);
-    for (let start = 0; start < rest.length; start += FINGERPRINTS_PER_NOTICE) {
+    const unmerged = this.mergeIntoPending(engineId, fingerprints, atMs, remaining);
+    for (let start = 0; start < unmerged.length; start += FINGERPRINTS_PER_ANNOUNCEMENT) {
       if (this.crashes.length >= MAXIMUM_PENDING) this.crashes.shift();
-      const named = rest.slice(start, start + FINGERPRINTS_PER_NOTICE);
-      this.crashes.push({ engineId, fingerprints: named, atMs, remaining });
+      const batch = unmerged.slice(start, start + FINGERPRINTS_PER_ANNOUNCEMENT);
+      this.crashes.push({ engineId, fingerprints: batch, atMs, remaining });
     }
   }
 
-  private putClearance(fingerprint: string, atMs: number, remaining: number): void {
+  private enqueueClearance(fingerprint: string, atMs: number, remaining: number): void {
     if (this.clearances.length >= MAXIMUM_PENDING) this.clearances.shift();
     this.clearances.push({ fingerprint, atMs, remaining });
   }
 
-  /** What the next report carries; call once a report. */
+  /** Removes and returns the content of the next report. Must be called once per report. */
   take(quarantinedSince: ReadonlyMap<string, number>, nowMs: number): CrashAnnouncements {
-    const crashes = takeFirst(this.crashes, CRASHES_PER_REPORT);
-    const clearances = takeFirst(this.clearances, CLEARANCES_PER_REPORT);
+    const crashes = takeLeastAnnounced(this.crashes, CRASHES_PER_REPORT);
+    const clearances = takeLeastAnnounced(this.clearances, CLEARANCES_PER_REPORT);
     this.crashes = this.crashes.filter(({ remaining }) => remaining > 0);
     this.clearances = this.clearances.filter(({ remaining }) => remaining > 0);
     const age = (atMs: number): number => Math.max(0, Math.round(nowMs - atMs));
@@ -131,7 +131,7 @@
           isCleared: true,
           ageMs: age(atMs),
         })),
-        ...this.nextQuarantined(quarantinedSince).map(([fingerprint, sinceMs]) => ({
+        ...this.nextQuarantinedBatch(quarantinedSince).map(([fingerprint, sinceMs]) => ({
           fingerprint,
           isCleared: false,
           ageMs: age(sinceMs),
@@ -140,42 +140,47 @@
     };
   }
 
-  /** Adds requests to a notice of the same crash that still waits; answers those that found no room. */
-  private joinPresent(
+  /**
+   * Merges requests into a pending announcement of the same crash. Returns those that did not fit.
+   */
+  private mergeIntoPending(
     engineId: string,
     fingerprints: readonly string[],
     atMs: number,
     remaining: number,
   ): readonly string[] {
-    const present = this.crashes.find(
+    const pending = this.crashes.find(
       (crash) =>
         crash.engineId === engineId &&
-        crash.fingerprints.length < FINGERPRINTS_PER_NOTICE &&
+        crash.fingerprints.length < FINGERPRINTS_PER_ANNOUNCEMENT &&
         Math.abs(crash.atMs - atMs) <= SAME_CRASH_MS,
     );
-    if (!present) return fingerprints;
-    const room = FINGERPRINTS_PER_NOTICE - present.fingerprints.length;
-    const joined = fingerprints.filter((each) => !present.fingerprints.includes(each));
-    if (joined.length === 0) return joined;
-    present.fingerprints.push(...joined.slice(0, room));
-    present.remaining = Math.max(present.remaining, remaining);
-    // The earlier time: what cleared a request since then clears it for this notice too.
-    present.atMs = Math.min(present.atMs, atMs);
-    return joined.slice(room);
+    if (!pending) return fingerprints;
+    const room = FINGERPRINTS_PER_ANNOUNCEMENT - pending.fingerprints.length;
+    const added = fingerprints.filter((each) => !pending.fingerprints.includes(each));
+    if (added.length === 0) return added;
+    pending.fingerprints.push(...added.slice(0, room));
+    pending.remaining = Math.max(pending.remaining, remaining);
+    // Keep the earlier time: a clearance since then applies to the merged announcement too.
+    pending.atMs = Math.min(pending.atMs, atMs);
+    return added.slice(room);
   }
 
-  private nextQuarantined(since: ReadonlyMap<string, number>): [string, number][] {
-    const all = [...since];
-    if (all.length <= QUARANTINED_PER_REPORT) return all;
-    const start = (this.turn * QUARANTINED_PER_REPORT) % all.length;
-    this.turn += 1;
-    return [...all.slice(start), ...all.slice(0, start)].slice(0, QUARANTINED_PER_REPORT);
+  private nextQuarantinedBatch(quarantinedSince: ReadonlyMap<string, number>): [string, number][] {
+    const entries = [...quarantinedSince];
+    if (entries.length <= QUARANTINED_PER_REPORT) return entries;
+    const start = (this.rotation * QUARANTINED_PER_REPORT) % entries.length;
+    this.rotation += 1;
+    return [...entries.slice(start), ...entries.slice(0, start)].slice(0, QUARANTINED_PER_REPORT);
   }
 }
 
-/** The notices with the most announcements left, each counted as announced once more. */
-function takeFirst<Notice extends Pending>(pending: readonly Notice[], count: number): Notice[] {
+/** Returns the announcements with the most repeats remaining and decrements their counters. */
+function takeLeastAnnounced<Announcement extends PendingAnnouncement>(
+  pending: readonly Announcement[],
+  count: number,
+): Announcement[] {
   const first = [...pending].sort((a, b) => b.remaining - a.remaining).slice(0, count);
-  for (const notice of first) notice.remaining -= 1;
+  for (const announcement of first) announcement.remaining -= 1;
   return first;
 }
--- a/src/state/routing/engine-backoffs.ts
+++ b/src/state/routing/engine-backoffs.ts
@@ -1,27 +1,28 @@
 /**
- * Pauses that engines have asked this router for. Kept by the engine's name, since a router may hear of a restart
- * only after the new life has asked, and apart from the list of engines, where one may be missing for a moment.
+ * Pauses requested by engines. They are keyed by engine name, because a router may learn of a
+ * restart only after the new incarnation requested a pause, and stored outside the engine registry,
+ * because an engine may be missing from it temporarily.
  */
 export class EngineBackoffs {
   private readonly untilMs = new Map<string, number>();
 
   /**
-   * The engine wants no requests from now on.
+   * Records that the engine requested a pause.
    *
-   * @param forMs in milliseconds; a pause that ends later stays
+   * @param durationMs in milliseconds; does not shorten a pause that ends later
    */
-  note(engineName: string, nowMs: number, forMs: number): void {
-    this.forgetEnded(nowMs);
-    const presentMs = this.untilMs.get(engineName) ?? -Infinity;
-    this.untilMs.set(engineName, Math.max(presentMs, nowMs + forMs));
+  note(engineName: string, nowMs: number, durationMs: number): void {
+    this.removeExpired(nowMs);
+    const currentMs = this.untilMs.get(engineName) ?? -Infinity;
+    this.untilMs.set(engineName, Math.max(currentMs, nowMs + durationMs));
   }
 
-  /** Time until the pause is over, in milliseconds; 0 where there is none. */
+  /** Remaining time of the pause in milliseconds; 0 if there is none. */
   remainingMs(engineName: string, nowMs: number): number {
     return Math.max(0, (this.untilMs.get(engineName) ?? -Infinity) - nowMs);
   }
 
-  private forgetEnded(nowMs: number): void {
+  private removeExpired(nowMs: number): void {
     for (const [name, untilMs] of this.untilMs) if (untilMs <= nowMs) this.untilMs.delete(name);
   }
 }
--- a/src/state/routing/engine-crashes.ts
+++ b/src/state/routing/engine-crashes.ts
@@ -1,43 +1,46 @@
 /**
- * Which requests broke together with an engine. A connection that breaks says little by itself: engines
- * cut answers, networks reset connections. Only where the engine then refuses new connections has it
- * crashed, and each of the requests that it was running may be the cause. Pure.
+ * Attributes broken requests to engine crashes. A broken connection alone does not prove a crash,
+ * since engines abort responses and networks reset connections. An engine counts as crashed if it
+ * also refuses new connections or restarts; each request it was running may then be the cause.
+ * Pure.
  */
 
-/** What a broken request calls for. */
+/** Action required after a request broke. */
 export enum BreakFinding {
-  /** Nobody knows yet whether the engine crashed: it must be checked. */
+  /** It is unknown whether the engine crashed; it must be checked. */
   NeedsCheck = 'needs-check',
-  /** A check is under way already. */
+  /** A check is already in progress. */
   AwaitsCheck = 'awaits-check',
-  /** The engine is known to have crashed. */
+  /** The engine crashed. */
   Crashed = 'crashed',
-  /** The engine is known to have crashed before the request was sent: another life of it had this one. */
+  /** The engine crashed before the request was sent, so another incarnation ran the request. */
   Unrelated = 'unrelated',
 }
 
-/** A request that broke; both times in Unix milliseconds. */
+/** A request whose connection broke; both times in Unix milliseconds. */
 export interface BrokenRequest {
   readonly fingerprint: string;
   readonly sentMs: number;
   readonly brokenMs: number;
 }
 
-/** Crashed incarnations that are remembered; they leave the list of engines within seconds. */
-const MAXIMUM_CRASHED = 1_024;
-/** Engines whose unexplained breaks are remembered. */
-const MAXIMUM_UNEXPLAINED = 256;
-/** A new start within this time explains a break, in milliseconds. */
-const EXPLAINED_WITHIN_MS = 5_000;
-/** Connections of a process that ends close together: breaks that came before the last by more are others. */
-const CRASH_SPREAD_MS = 100;
+/** Maximum crashed incarnations remembered; they leave the engine list within seconds. */
+const MAXIMUM_CRASHED_INCARNATIONS = 1_024;
+/** Maximum engines with unexplained broken requests. */
+const MAXIMUM_UNEXPLAINED_ENGINES = 256;
+/** A broken request is attributed to a restart that follows within this time. */
+const RESTART_DETECTION_WINDOW_MS = 5_000;
+/** Connections of a crashed process break within this time of each other. */
+const SAME_CRASH_WINDOW_MS = 100;
 
-/** Broken requests by engine, until it is known whether the engine crashed. */
+/** Tracks broken requests by engine until it is known whether the engine crashed. */
 export class EngineCrashes {
-  private readonly awaiting = new Map<string, BrokenRequest[]>();
-  /** Breaks at engines that were found accepting connections: a later start may explain them. */
+  private readonly awaitingCheck = new Map<string, BrokenRequest[]>();
+  /**
+   * Broken requests at engines that still accepted connections; a later restart may explain them.
+   */
   private readonly unexplained = new Map<string, BrokenRequest[]>();
-  /** Crashed incarnations, with the start of the life that followed where that is known. */
+  /** Crashed incarnations, with the start time of the next incarnation if known. */
   private readonly crashed = new Map<string, number | undefined>();
 
   /** Whether this incarnation is known to have crashed. */
@@ -45,72 +48,76 @@
     return this.crashed.has(engineId);
   }
 
-  /** The connection on which an engine was running a request broke. */
+  /** Records that the connection of a running request broke. */
   noteBreak(engineId: string, broken: BrokenRequest): BreakFinding {
     if (this.crashed.has(engineId)) {
-      const nextBornMs = this.crashed.get(engineId) ?? Infinity;
-      return broken.sentMs < nextBornMs ? BreakFinding.Crashed : BreakFinding.Unrelated;
+      const nextStartedAtMs = this.crashed.get(engineId) ?? Infinity;
+      return broken.sentMs < nextStartedAtMs ? BreakFinding.Crashed : BreakFinding.Unrelated;
     }
-    const awaiting = this.awaiting.get(engineId);
-    if (awaiting) {
-      awaiting.push(broken);
+    const awaitingCheck = this.awaitingCheck.get(engineId);
+    if (awaitingCheck) {
+      awaitingCheck.push(broken);
       return BreakFinding.AwaitsCheck;
     }
-    this.awaiting.set(engineId, [broken]);
+    this.awaitingCheck.set(engineId, [broken]);
     return BreakFinding.NeedsCheck;
   }
 
-  /** The check found nobody at the engine's address; answers the requests that broke with it. */
+  /** Records that the engine refused a connection. Returns the requests that broke with it. */
   noteCrashed(engineId: string): string[] {
-    this.enterCrashed(engineId, undefined);
-    return fingerprintsOf(this.take(this.awaiting, engineId));
+    this.recordCrashed(engineId, undefined);
+    return fingerprintsOf(this.removeBreaks(this.awaitingCheck, engineId));
   }
 
-  /** The check found the engine running, or found nothing out. */
+  /** Records that the engine accepted a connection or that the check was inconclusive. */
   noteNotCrashed(engineId: string): void {
-    const broken = this.take(this.awaiting, engineId);
+    const broken = this.removeBreaks(this.awaitingCheck, engineId);
     if (broken.length === 0) return;
-    const earlier = this.take(this.unexplained, engineId);
-    this.unexplained.set(engineId, closeTogether([...earlier, ...broken]));
-    if (this.unexplained.size <= MAXIMUM_UNEXPLAINED) return;
+    const earlier = this.removeBreaks(this.unexplained, engineId);
+    this.unexplained.set(engineId, breaksOfLastCrash([...earlier, ...broken]));
+    if (this.unexplained.size <= MAXIMUM_UNEXPLAINED_ENGINES) return;
     const [oldest] = this.unexplained.keys();
     if (oldest !== undefined) this.unexplained.delete(oldest);
   }
 
   /**
-   * A later life of the engine has begun, so this one is over; answers the requests that broke with it,
-   * undefined where it was known to have crashed, so that one end counts once.
+   * Records that the engine restarted. Returns the requests that broke with the previous
+   * incarnation, or undefined if its crash was already recorded, so that it is counted once.
    *
-   * @param bornMs start of the later life, Unix milliseconds
+   * @param startedAtMs start time of the new incarnation, Unix milliseconds
    */
-  noteReborn(engineId: string, bornMs: number): string[] | undefined {
-    const isKnown = this.crashed.has(engineId);
-    const earlier = this.take(this.unexplained, engineId);
-    const broken = [...earlier, ...this.take(this.awaiting, engineId)];
-    this.enterCrashed(engineId, bornMs);
-    if (isKnown) return undefined;
+  noteReborn(engineId: string, startedAtMs: number): string[] | undefined {
+    const wasCrashed = this.crashed.has(engineId);
+    const earlier = this.removeBreaks(this.unexplained, engineId);
+    const broken = [...earlier, ...this.removeBreaks(this.awaitingCheck, engineId)];
+    this.recordCrashed(engineId, startedAtMs);
+    if (wasCrashed) return undefined;
     const explained = broken.filter(
-      ({ sentMs, brokenMs }) => sentMs < bornMs && brokenMs > bornMs - EXPLAINED_WITHIN_MS,
+      ({ sentMs, brokenMs }) =>
+        sentMs < startedAtMs && brokenMs > startedAtMs - RESTART_DETECTION_WINDOW_MS,
     );
-    return fingerprintsOf(closeTogether(explained));
+    return fingerprintsOf(breaksOfLastCrash(explained));
   }
 
-  private enterCrashed(engineId: string, nextBornMs: number | undefined): void {
-    if (this.crashed.size >= MAXIMUM_CRASHED) this.crashed.clear();
-    this.crashed.set(engineId, nextBornMs);
+  private recordCrashed(engineId: string, nextStartedAtMs: number | undefined): void {
+    if (this.crashed.size >= MAXIMUM_CRASHED_INCARNATIONS) this.crashed.clear();
+    this.crashed.set(engineId, nextStartedAtMs);
   }
 
-  private take(from: Map<string, BrokenRequest[]>, engineId: string): BrokenRequest[] {
-    const taken = from.get(engineId) ?? [];
-    from.delete(engineId);
-    return taken;
+  private removeBreaks(
+    breaksByEngine: Map<string, BrokenRequest[]>,
+    engineId: string,
+  ): BrokenRequest[] {
+    const breaks = breaksByEngine.get(engineId) ?? [];
+    breaksByEngine.delete(engineId);
+    return breaks;
   }
 }
 
-/** The breaks that came with the last one. */
-function closeTogether(broken: readonly BrokenRequest[]): BrokenRequest[] {
+/** The requests that broke close to the last one. */
+function breaksOfLastCrash(broken: readonly BrokenRequest[]): BrokenRequest[] {
   const lastMs = Math.max(...broken.map(({ brokenMs }) => brokenMs));
-  return broken.filter(({ brokenMs }) => brokenMs > lastMs - CRASH_SPREAD_MS);
+  return broken.filter(({ brokenMs }) => brokenMs > lastMs - SAME_CRASH_WINDOW_MS);
 }
 
 function fingerprintsOf(broken: readonly BrokenRequest[]): string[] {
--- a/src/state/routing/engine-health.ts
+++ b/src/state/routing/engine-health.ts
@@ -1,37 +1,42 @@
-/** What answers tell of an engine's health: how long it is left alone after failures and at its own wish. */
+/**
+ * Tracks engine health from responses: how long to avoid an engine after failures, rejections or at
+ * its request.
+ */
 
 import { EngineBackoffs } from './engine-backoffs.js';
 import { EngineLimits } from './engine-limits.js';
 import type { SlotView } from './send-slots.js';
 
 interface Health {
-  /** Moving share of failures among the last answers, 0 to 1. */
+  /** Exponential moving average of failures, 0 to 1. */
   failureShare: number;
   avoidedUntilMs: number;
-  pauseMs: number;
-  /** How long the next refusal keeps requests away. */
-  busyPauseMs: number;
-  refusedMs: number;
+  failureBackoffMs: number;
+  /** Duration of the avoidance after the next rejection. */
+  busyBackoffMs: number;
+  rejectedAtMs: number;
 }
 
-/** Weight of the newest answer in the moving share. */
-const NEWEST_WEIGHT = 0.25;
-/** At this share of failures the engine is left alone for a while. */
-const FAILURE_SHARE_TO_AVOID = 0.4;
-const FIRST_PAUSE_MS = 700;
-const LONGEST_PAUSE_MS = 4_000;
-/** An engine that refused a request is left alone for this long, twice as long after each further trial. */
-const FIRST_BUSY_PAUSE_MS = 150;
-const LONGEST_BUSY_PAUSE_MS = 2_400;
-/** Another engine at the address, or other weights: the list of engines is out of date for about this long. */
-const MISDIRECTED_PAUSE_MS = 600;
-/** A connection that can't be opened says more than a failed answer. */
-const UNREACHABLE_PAUSE_MS = 1_000;
-/** Below this share an engine counts as well again and its pauses start short. */
-const RECOVERED_SHARE = 0.1;
-
-/** An engine that takes weights refuses work; news of a load that lasts come again within this time. */
-const LOADING_LIFETIME_MS = 1_600;
+/** Weight of the latest response in the moving average. */
+const SMOOTHING_FACTOR = 0.25;
+/** Engines with at least this failure share are avoided for a while. */
+const AVOIDANCE_FAILURE_SHARE = 0.4;
+const INITIAL_FAILURE_BACKOFF_MS = 700;
+const MAXIMUM_FAILURE_BACKOFF_MS = 4_000;
+/** Avoidance after a rejection, doubled by each further rejection until a request succeeds. */
+const INITIAL_BUSY_BACKOFF_MS = 150;
+const MAXIMUM_BUSY_BACKOFF_MS = 2_400;
+/**
+ * The address belongs to another engine or the weights differ; covers the lag of the engine list.
+ */
+const MISDIRECTED_BACKOFF_MS = 600;
+/** Avoidance after a failed connection, which is stronger evidence than a failed response. */
+const UNREACHABLE_BACKOFF_MS = 1_000;
+/** Below this failure share an engine counts as recovered and its backoffs are reset. */
+const RECOVERED_FAILURE_SHARE = 0.1;
+
+/** Announcements of an ongoing weight load are repeated within this time. */
+const LOADING_TIMEOUT_MS = 1_600;
 
 /** Health of all engines, by incarnation. */
 export class EngineHealth {
@@ -40,56 +45,59 @@
   private readonly engines = new Map<string, Health>();
   private readonly loadingUntilMs = new Map<string, number>();
 
-  /** @param sentMs when the request was sent that came to a good end; refusals since then still count */
+  /** @param sentMs when the successful request was sent; later rejections still count */
   noteSuccess(engineId: string, sentMs: number): void {
     const health = this.engines.get(engineId);
     if (!health) return;
-    health.failureShare *= 1 - NEWEST_WEIGHT;
-    if (sentMs < health.refusedMs) return;
-    health.busyPauseMs = FIRST_BUSY_PAUSE_MS;
-    if (health.failureShare < RECOVERED_SHARE) this.engines.delete(engineId);
+    health.failureShare *= 1 - SMOOTHING_FACTOR;
+    if (sentMs < health.rejectedAtMs) return;
+    health.busyBackoffMs = INITIAL_BUSY_BACKOFF_MS;
+    if (health.failureShare < RECOVERED_FAILURE_SHARE) this.engines.delete(engineId);
   }
 
   noteFailure(engineId: string, nowMs: number): void {
-    const health = this.of(engineId);
-    health.failureShare = health.failureShare * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
-    if (health.failureShare < FAILURE_SHARE_TO_AVOID) return;
+    const health = this.getOrCreate(engineId);
+    health.failureShare = health.failureShare * (1 - SMOOTHING_FACTOR) + SMOOTHING_FACTOR;
+    if (health.failureShare < AVOIDANCE_FAILURE_SHARE) return;
     if (nowMs < health.avoidedUntilMs) return;
-    health.avoidedUntilMs = nowMs + health.pauseMs;
-    health.pauseMs = Math.min(LONGEST_PAUSE_MS, health.pauseMs * 2);
+    health.avoidedUntilMs = nowMs + health.failureBackoffMs;
+    health.failureBackoffMs = Math.min(MAXIMUM_FAILURE_BACKOFF_MS, health.failureBackoffMs * 2);
   }
 
   noteUnreachable(engineId: string, nowMs: number): void {
-    const health = this.of(engineId);
+    const health = this.getOrCreate(engineId);
     health.failureShare = 1;
-    health.avoidedUntilMs = Math.max(health.avoidedUntilMs, nowMs + UNREACHABLE_PAUSE_MS);
+    health.avoidedUntilMs = Math.max(health.avoidedUntilMs, nowMs + UNREACHABLE_BACKOFF_MS);
   }
 
   /**
-   * The engine had no place. One that refuses everything looks idle and so draws requests: it is tried ever more
-   * seldom until it takes one. Of 800 requests, 21 were refused instead of 123 while two of five engines refused
-   * all for 8 s (simulated deployment of 3 routers).
+   * Records that the engine had no capacity. An engine that rejects everything looks idle and so
+   * attracts requests; the backoff grows until it accepts one.
    */
   noteBusy(engineId: string, nowMs: number): void {
-    const health = this.of(engineId);
-    health.refusedMs = nowMs;
+    const health = this.getOrCreate(engineId);
+    health.rejectedAtMs = nowMs;
     if (nowMs < health.avoidedUntilMs) return;
-    health.avoidedUntilMs = nowMs + health.busyPauseMs;
-    health.busyPauseMs = Math.min(LONGEST_BUSY_PAUSE_MS, health.busyPauseMs * 2);
+    health.avoidedUntilMs = nowMs + health.busyBackoffMs;
+    health.busyBackoffMs = Math.min(MAXIMUM_BUSY_BACKOFF_MS, health.busyBackoffMs * 2);
   }
 
-  /** Another engine answered at the address, or this one has other weights than expected. */
+  /**
+   * Records that another engine responded at the address, or that this one has unexpected weights.
+   */
   noteMisdirected(engineId: string, nowMs: number): void {
-    const health = this.of(engineId);
-    health.avoidedUntilMs = Math.max(health.avoidedUntilMs, nowMs + MISDIRECTED_PAUSE_MS);
+    const health = this.getOrCreate(engineId);
+    health.avoidedUntilMs = Math.max(health.avoidedUntilMs, nowMs + MISDIRECTED_BACKOFF_MS);
   }
 
-  /** The engine takes other weights, so it is certain to refuse; repeat while it lasts. */
+  /**
+   * Records that the engine is loading weights and rejects requests. Repeat while the load lasts.
+   */
   noteLoading(engineId: string, nowMs: number): void {
-    this.loadingUntilMs.set(engineId, nowMs + LOADING_LIFETIME_MS);
+    this.loadingUntilMs.set(engineId, nowMs + LOADING_TIMEOUT_MS);
   }
 
-  /** The engine takes work again. */
+  /** Records that the engine accepts requests again. */
   noteLoaded(engineId: string): void {
     if (!this.loadingUntilMs.delete(engineId)) return;
     const health = this.engines.get(engineId);
@@ -105,17 +113,17 @@
   }
 
   /**
-   * Time until the first of these engines takes a request of this router, by pauses and limits, in milliseconds; 0 where
-   * one does now, Infinity for no engines.
+   * Time until the first of these engines accepts a request from this router, by pauses and rate
+   * limits, in milliseconds; 0 if one does now, Infinity for an empty list.
    */
-  shortestWaitMs(engineNames: readonly string[], nowMs: number, turns: SlotView): number {
+  shortestWaitMs(engineNames: readonly string[], nowMs: number, slotView: SlotView): number {
     const waitsMs = engineNames.map((name) =>
-      Math.max(this.backoffs.remainingMs(name, nowMs), this.limits.waitMs(name, turns)),
+      Math.max(this.backoffs.remainingMs(name, nowMs), this.limits.waitMs(name, slotView)),
     );
     return Math.min(...waitsMs);
   }
 
-  /** Moving share of failures, 0 where nothing is known. */
+  /** Moving average of failures; 0 if unknown. */
   failureShare(engineId: string): number {
     return this.engines.get(engineId)?.failureShare ?? 0;
   }
@@ -127,15 +135,15 @@
     }
   }
 
-  private of(engineId: string): Health {
+  private getOrCreate(engineId: string): Health {
     let health = this.engines.get(engineId);
     if (!health) {
       health = {
         failureShare: 0,
         avoidedUntilMs: -Infinity,
-        pauseMs: FIRST_PAUSE_MS,
-        busyPauseMs: FIRST_BUSY_PAUSE_MS,
-        refusedMs: -Infinity,
+        failureBackoffMs: INITIAL_FAILURE_BACKOFF_MS,
+        busyBackoffMs: INITIAL_BUSY_BACKOFF_MS,
+        rejectedAtMs: -Infinity,
       };
       this.engines.set(engineId, health);
     }
--- a/src/state/routing/engine-incarnation.ts
+++ b/src/state/routing/engine-incarnation.ts
@@ -1,31 +1,32 @@
 /**
- * Identity of one life of an engine. An engine may start again under the name that it had; it then holds
- * and knows nothing of before, so nothing that is remembered of one life may be taken for another.
+ * Identifies one incarnation of an engine: one run of its process between two starts. A restarted
+ * engine keeps its name but loses its cache and its state, so state recorded for one incarnation
+ * must not be applied to another.
  */
 
-/** What identifies one life: the engine's name and its start. */
+/** An engine's name and the start time of its process, which together identify one incarnation. */
 export interface EngineIncarnation {
-  /** The platform's identifier, the same in every life. */
+  /** Platform identifier; unchanged by restarts. */
   readonly name: string;
-  /** Start in Unix milliseconds, by the engine's clock; undefined where it is not stated. */
+  /** Start time in Unix milliseconds, by the engine's clock; undefined if unknown. */
   readonly bornMs: number | undefined;
 }
 
-const STATED_INCARNATION = /^(.+)@(\d{1,16})$/;
+const INCARNATION_WITH_START = /^(.+)@(\d{1,16})$/;
 
-/** Identity of one life: the name alone where no start is stated. */
-export function incarnationOf(name: string, bornMs: number | undefined): string {
-  return bornMs === undefined ? name : `${name}@${bornMs}`;
+/** Formats an incarnation as `name@start`, or as the name alone if the start time is unknown. */
+export function incarnationOf(name: string, startedAtMs: number | undefined): string {
+  return startedAtMs === undefined ? name : `${name}@${startedAtMs}`;
 }
 
-/** The life that an identity of {@link incarnationOf} names. */
+/** Parses an identifier produced by {@link incarnationOf}. */
 export function parseIncarnation(incarnation: string): EngineIncarnation {
-  const match = STATED_INCARNATION.exec(incarnation);
+  const match = INCARNATION_WITH_START.exec(incarnation);
   if (!match?.[1] || !match[2]) return { name: incarnation, bornMs: undefined };
   return { name: match[1], bornMs: Number(match[2]) };
 }
 
-/** Whether two statements of a start contradict each other; one that is left out contradicts none. */
+/** Whether two start times are both known and differ. */
 export function isDifferentIncarnation(
   leftMs: number | undefined,
   rightMs: number | undefined,
@@ -33,10 +34,12 @@
   return leftMs !== undefined && rightMs !== undefined && leftMs !== rightMs;
 }
 
-/** Whether a start that was heard is later than the one known. */
+/**
+ * Whether a start time is later than the current one. Any known time is later than an unknown one.
+ */
 export function isLaterIncarnation(
-  heardMs: number | undefined,
-  knownMs: number | undefined,
+  candidateMs: number | undefined,
+  currentMs: number | undefined,
 ): boolean {
-  return heardMs !== undefined && heardMs > (knownMs ?? -Infinity);
+  return candidateMs !== undefined && candidateMs > (currentMs ?? -Infinity);
 }
--- a/src/state/routing/engine-limits.ts
+++ b/src/state/routing/engine-limits.ts
@@ -1,149 +1,150 @@
 /**
- * Limits that engines name in their answers: the requests a second that one takes from all routers together, for as
- * long as its answers say so. Kept by the engine's name and apart from the list of engines, as pauses are. Routers tell
- * each other what is new: those that an engine has not told yet would send on, and those that have no turn would not
- * learn for long that a limit is lifted. Pure.
+ * Rate limits that engines state in their responses: requests per second that an engine accepts
+ * from all routers together. They are keyed by engine name and stored outside the engine registry,
+ * as are backoffs. Routers announce changes to each other, because a router without a recent
+ * response would otherwise exceed a new limit or keep to one that was lifted. Pure.
  */
 import { memberKey } from '../member-key.js';
 import { SendSlots, type SlotView } from './send-slots.js';
 
-/** Number of keys that {@link memberKey} may give. */
-const KEYS = 2 ** 32;
-/** News are told for this long: with a tenth of the datagrams lost, one router of a small group in 10,000 misses them. */
-const TOLD_FOR_MS = 1_500;
+/** Number of distinct values of {@link memberKey}. */
+const MEMBER_KEY_COUNT = 2 ** 32;
+/** A change is announced for this long, so that it survives the loss of some datagrams. */
+const ANNOUNCED_FOR_MS = 1_500;
 /**
- * Another router's age of what it tells grows on the way by what is gathered and held up, so that its moment seems this
- * much later at most. A lift that may be older than the last answer with a limit does not count.
+ * Maximum error of the age in an announcement, which does not include queueing and transit. A lift
+ * counts only if it is certainly newer than the last response with a limit.
  */
-const AGE_ERROR_MS = 200;
+const MAXIMUM_AGE_ERROR_MS = 200;
 /**
- * A limit that was not heard of for so long is forgotten. In a group of 195 a router's turn at an engine that takes one
- * request a second comes each three minutes: forgotten before, the limit would be passed by whoever had no turn.
+ * A limit is kept for this long without confirmation. Must exceed the time between two slots of a
+ * router in a large group, or a router without a slot would drop the limit and exceed it.
  */
-const REMEMBERED_MS = 600_000;
-/** A lift only has to outlast answers and notices that were on their way. */
-const LIFT_REMEMBERED_MS = 60_000;
+const LIMIT_RETENTION_MS = 600_000;
+/** A lifted limit is kept only until older responses and announcements have arrived. */
+const LIFTED_RETENTION_MS = 60_000;
 
-/** What one router tells another of an engine's limit. */
+/** Announcement of an engine's limit to other routers. */
 export interface EngineLimitAnnouncement {
   readonly engineName: string;
-  /** Requests a second; undefined: the limit is lifted. */
+  /** Requests per second; undefined if the limit was lifted. */
   readonly perSecond: number | undefined;
-  /** Time since the engine can first have said so, in milliseconds. */
+  /** Time since the earliest moment the engine can have stated this, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What is known of an engine's limit. */
+/** Last known limit of an engine. */
 interface KnownLimit {
   readonly perSecond: number | undefined;
-  /** The engine said so no earlier than this. */
+  /** Earliest time at which the engine can have stated this. */
   readonly asOfMs: number;
-  /** When this router learnt it first. */
-  readonly learntMs: number;
+  /** When this router first learned the current value. */
+  readonly learnedAtMs: number;
 }
 
-/** The limits of all engines. */
+/** Rate limits of all engines. */
 export class EngineLimits {
-  private readonly known = new Map<string, KnownLimit>();
-  private readonly turns = new Map<string, SendSlots>();
+  private readonly knownLimits = new Map<string, KnownLimit>();
+  private readonly sendSlots = new Map<string, SendSlots>();
 
   /**
-   * An answer that has just come names a limit.
+   * Records a limit stated in a response that was just received.
    *
-   * @returns true where this changes what was known
+   * @returns true if the known limit changed
    */
   noteNamed(engineName: string, perSecond: number, nowMs: number): boolean {
-    return this.note(engineName, perSecond, nowMs, nowMs);
+    return this.recordLimit(engineName, perSecond, nowMs, nowMs);
   }
 
   /**
-   * An engine answered without naming a limit. Answers overtake one another, so this counts only where the request
-   * was sent after the last answer with a limit came.
+   * Records a response without a limit. Responses may arrive out of order, so the limit is lifted
+   * only if the request was sent after the last response with a limit was received.
    *
    * @param sentMs when the request was sent
-   * @returns true where this lifts a limit
+   * @returns true if this lifts a limit
    */
   noteUnnamed(engineName: string, sentMs: number, nowMs: number): boolean {
-    const present = this.known.get(engineName);
-    if (present?.perSecond === undefined || sentMs <= present.asOfMs) return false;
-    return this.note(engineName, undefined, sentMs, nowMs);
+    const current = this.knownLimits.get(engineName);
+    if (current?.perSecond === undefined || sentMs <= current.asOfMs) return false;
+    return this.recordLimit(engineName, undefined, sentMs, nowMs);
   }
 
   /**
-   * Takes another router's notice.
+   * Applies an announcement from another router.
    *
-   * @returns true where this changes what was known
+   * @returns true if the known limit changed
    */
   receive({ engineName, perSecond, ageMs }: EngineLimitAnnouncement, nowMs: number): boolean {
-    const present = this.known.get(engineName);
+    const current = this.knownLimits.get(engineName);
     const asOfMs = nowMs - ageMs;
     const isLift = perSecond === undefined;
-    if (!present && isLift) return false;
-    const slackMs = isLift && present?.perSecond !== undefined ? AGE_ERROR_MS : 0;
-    if (present && asOfMs <= present.asOfMs + slackMs) return false;
-    return this.note(engineName, perSecond, asOfMs, nowMs);
+    if (!current && isLift) return false;
+    const toleranceMs = isLift && current?.perSecond !== undefined ? MAXIMUM_AGE_ERROR_MS : 0;
+    if (current && asOfMs <= current.asOfMs + toleranceMs) return false;
+    return this.recordLimit(engineName, perSecond, asOfMs, nowMs);
   }
 
-  /** What the other routers should be told. */
+  /** Announcements to send to the other routers. */
   notices(nowMs: number): EngineLimitAnnouncement[] {
-    const notices: EngineLimitAnnouncement[] = [];
-    for (const [engineName, { perSecond, asOfMs, learntMs }] of this.known) {
+    const announcements: EngineLimitAnnouncement[] = [];
+    for (const [engineName, { perSecond, asOfMs, learnedAtMs: learnedAtMs }] of this.knownLimits) {
       const ageMs = Math.max(0, Math.round(nowMs - asOfMs));
-      const rememberedMs = perSecond === undefined ? LIFT_REMEMBERED_MS : REMEMBERED_MS;
-      if (ageMs > rememberedMs) this.forget(engineName);
-      else if (nowMs - learntMs < TOLD_FOR_MS) notices.push({ engineName, perSecond, ageMs });
+      const retentionMs = perSecond === undefined ? LIFTED_RETENTION_MS : LIMIT_RETENTION_MS;
+      if (ageMs > retentionMs) this.forget(engineName);
+      else if (nowMs - learnedAtMs < ANNOUNCED_FOR_MS)
+        announcements.push({ engineName, perSecond, ageMs });
     }
-    return notices;
+    return announcements;
   }
 
-  /** Requests a second; undefined where the engine has named no limit, or lifted it. */
+  /** Requests per second; undefined if the engine has no known limit. */
   perSecond(engineName: string): number | undefined {
-    return this.known.get(engineName)?.perSecond;
+    return this.knownLimits.get(engineName)?.perSecond;
   }
 
-  /** Whether this router may send the engine a request now. */
-  maySend(engineName: string, view: SlotView): boolean {
+  /** Whether this router may send a request to the engine now. */
+  maySend(engineName: string, slotView: SlotView): boolean {
     const perSecond = this.perSecond(engineName);
-    return perSecond === undefined || this.turnsOf(engineName).isDue(perSecond, view);
+    return perSecond === undefined || this.sendSlotsOf(engineName).isDue(perSecond, slotView);
   }
 
-  /** Time until this router may send the engine a request, in milliseconds; 0 where it may now. */
-  waitMs(engineName: string, view: SlotView): number {
+  /** Time until this router may send a request to the engine, in milliseconds; 0 if it may now. */
+  waitMs(engineName: string, slotView: SlotView): number {
     const perSecond = this.perSecond(engineName);
-    return perSecond === undefined ? 0 : this.turnsOf(engineName).waitMs(perSecond, view);
+    return perSecond === undefined ? 0 : this.sendSlotsOf(engineName).waitMs(perSecond, slotView);
   }
 
-  /** This router sends the engine a request. */
-  noteSend(engineName: string, view: SlotView): void {
+  /** Records that this router sends a request to the engine, which uses a slot. */
+  noteSend(engineName: string, slotView: SlotView): void {
     const perSecond = this.perSecond(engineName);
-    if (perSecond !== undefined) this.turnsOf(engineName).use(perSecond, view);
+    if (perSecond !== undefined) this.sendSlotsOf(engineName).use(perSecond, slotView);
   }
 
-  private turnsOf(engineName: string): SendSlots {
-    let turns = this.turns.get(engineName);
-    if (!turns) {
-      turns = new SendSlots(memberKey(engineName) / KEYS);
-      this.turns.set(engineName, turns);
+  private sendSlotsOf(engineName: string): SendSlots {
+    let sendSlots = this.sendSlots.get(engineName);
+    if (!sendSlots) {
+      sendSlots = new SendSlots(memberKey(engineName) / MEMBER_KEY_COUNT);
+      this.sendSlots.set(engineName, sendSlots);
     }
-    return turns;
+    return sendSlots;
   }
 
-  private note(
+  private recordLimit(
     engineName: string,
     perSecond: number | undefined,
     asOfMs: number,
     nowMs: number,
   ): boolean {
-    const present = this.known.get(engineName);
-    const isChanged = present?.perSecond !== perSecond;
-    const learntMs = present && !isChanged ? present.learntMs : nowMs;
-    this.known.set(engineName, { perSecond, asOfMs, learntMs });
-    if (perSecond === undefined) this.turns.delete(engineName);
+    const current = this.knownLimits.get(engineName);
+    const isChanged = current?.perSecond !== perSecond;
+    const learnedAtMs = current && !isChanged ? current.learnedAtMs : nowMs;
+    this.knownLimits.set(engineName, { perSecond, asOfMs, learnedAtMs: learnedAtMs });
+    if (perSecond === undefined) this.sendSlots.delete(engineName);
     return isChanged;
   }
 
   private forget(engineName: string): void {
-    this.known.delete(engineName);
-    this.turns.delete(engineName);
+    this.knownLimits.delete(engineName);
+    this.sendSlots.delete(engineName);
   }
 }
--- a/src/state/routing/engine-record.ts
+++ b/src/state/routing/engine-record.ts
@@ -1,12 +1,14 @@
-/** The record of one life of an engine: its entry in the store, or what stands for it until that comes. */
+/**
+ * Record of one incarnation of an engine, from its store entry or inferred until that is received.
+ */
 
-/** What an engine states of itself. */
+/** State published by an engine. */
 export interface EngineRecord {
-  /** Incarnation, by `incarnationOf`: the key of all that is remembered of one life. */
+  /** Incarnation identifier from `incarnationOf`; key of all state about this incarnation. */
   readonly id: string;
-  /** The platform's identifier, under which the engine is listed and knows itself in every life. */
+  /** Platform identifier under which the engine is listed; unchanged by restarts. */
   readonly name: string;
-  /** Start of this life in Unix milliseconds; undefined where the entry does not state it. */
+  /** Start time of this incarnation in Unix milliseconds; undefined if not stated. */
   readonly bornMs: number | undefined;
   readonly service: string;
   /** HOST:PORT; may have belonged to another engine before. */
--- a/src/state/routing/engine-registry.ts
+++ b/src/state/routing/engine-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The engines of all services, as the platform lists them and as this router has found them: at most one
- * life of each.
+ * Registry of the engines of all services, from the platform's list and from the observations of
+ * this router. It holds at most one incarnation of each engine.
  */
 import { incarnationOf, isLaterIncarnation, parseIncarnation } from './engine-incarnation.js';
 import type { EngineRecord } from './engine-record.js';
@@ -8,52 +8,57 @@
 
 export type { EngineRecord };
 
-/** An engine as the router sees it. */
+/** An engine and what this router has observed about it. */
 export interface Engine {
   record: EngineRecord;
-  /** Whether its own entry was taken; else another source has shown it, and its record is a guess. */
+  /** Whether its store entry was received; otherwise the record is inferred. */
   isListed: boolean;
-  /** Versions this router knows to be newer than the listed ones, from orders and answers. */
+  /**
+   * Weight versions observed in load commands and responses, which may be newer than the listed
+   * ones.
+   */
   readonly observedVersions: Map<string, number>;
-  /** Orders taken, as the engine itself told; undefined where that must be asked for. */
+  /**
+   * Number of load commands applied, as reported by the engine; undefined if it must be queried.
+   */
   observedOrders: number | undefined;
 }
 
-/** What became of a record that was put. */
+/** Result of storing a record. */
 export type PutOutcome =
-  /** The life was known, or the engine was not. */
+  /** The incarnation was already registered, or the engine is new. */
   | { readonly kind: 'stored' }
-  /** Another life took the place of the one that was known. */
+  /** Another incarnation replaced the registered one. */
   | { readonly kind: 'reborn'; readonly former: EngineRecord }
-  /** The life is over. */
+  /** The incarnation has ended; the record was ignored. */
   | { readonly kind: 'retired' };
 
-/** Retired incarnations remembered; lists drop them within seconds. */
+/** Maximum retired incarnations remembered; engine lists drop them within seconds. */
 const MAXIMUM_RETIRED = 4_096;
 
-/** Engines by incarnation, grouped by service; one life of each name. */
+/** Engines by incarnation, grouped by service; at most one incarnation per name. */
 export class EngineRegistry {
   private readonly engines = new Map<string, Engine>();
   private readonly byName = new Map<string, Engine>();
   private readonly byService = new Map<string, Engine[]>();
   /**
-   * Incarnations that were found replaced, whose entry went after they had said that they drain, or that said
-   * so while they had none: they never come back, whatever an old entry says.
+   * Incarnations that never return, even if a stale entry lists them: those found replaced, and
+   * those that drained and then lost their entry, or drained without one.
    */
   private readonly retired = new Set<string>();
-  private readonly followed = new SupersededIncarnations();
-  private view = 0;
+  private readonly superseded = new SupersededIncarnations();
+  private changeCount = 0;
 
-  /** Changes with every change of the list. */
+  /** Changes whenever the registry changes. */
   get version(): number {
-    return this.view;
+    return this.changeCount;
   }
 
   get ids(): ReadonlySet<string> {
     return new Set(this.engines.keys());
   }
 
-  /** Names of all engines, as the platform lists them. */
+  /** Names of all engines. */
   get names(): ReadonlySet<string> {
     return new Set(this.byName.keys());
   }
@@ -62,153 +67,166 @@
     return this.engines.get(id);
   }
 
-  /** The life of an engine that is in the list. */
+  /** The registered incarnation of an engine. */
   findByName(name: string): Engine | undefined {
     return this.byName.get(name);
   }
 
-  /** All engines of a service, the draining ones among them. */
+  /** All engines of a service, including draining ones. */
   ofService(service: string): readonly Engine[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** Engines that may be given new work. */
+  /** Engines of a service that accept new work. */
   readyOf(service: string): Engine[] {
     return this.ofService(service).filter((engine) => !engine.record.isDraining);
   }
 
-  /** Every engine that holds a model. */
+  /** All engines that hold a model. */
   holdersOf(model: string): Engine[] {
     return [...this.engines.values()].filter((engine) => engine.record.modelVersions.has(model));
   }
 
-  /** Whether some engine of the services that are meant holds an older version of a model than this one. */
-  hasHolderBefore(model: string, version: number, isMeant: (service: string) => boolean): boolean {
+  /** Whether an engine of a matching service holds an older version of a model. */
+  hasHolderBefore(model: string, version: number, matches: (service: string) => boolean): boolean {
     for (const engine of this.engines.values()) {
       if (!engine.record.modelVersions.has(model)) continue;
-      if ((versionAt(engine, model) ?? 0) < version && isMeant(engine.record.service)) return true;
+      if ((versionAt(engine, model) ?? 0) < version && matches(engine.record.service)) return true;
     }
     return false;
   }
 
   /**
-   * Takes an engine's newest entry. The caller keeps the store's order: of two lives the one whose entry
-   * the store took last is the present one, even if its start is earlier, as after a step of the engine's
-   * clock. Entries stay without effect only of a life that was listed itself when the entry of a later
-   * start came: the former life's write may be done late. One that an earlier start has followed may have
-   * been the present one all along, and one that was never listed may be the later of the two.
+   * Stores the newest entry of an engine. Callers must keep the store's order: of two incarnations,
+   * the one whose entry was written last is the current one, even if its start time is earlier, for
+   * example after its clock was set back. Entries are ignored only for an incarnation that was
+   * listed when the entry of a later start arrived, since the write of the previous incarnation may
+   * complete late. An incarnation superseded by one with an earlier start, or one that was never
+   * listed, may still be the current one.
    */
   put(record: EngineRecord): PutOutcome {
-    if (this.isOver(record.id)) return { kind: 'retired' };
-    const present = this.byName.get(record.name);
-    const former = present?.record.id === record.id ? undefined : present;
-    if (former) {
-      this.follow(
-        former,
-        former.isListed && isLaterIncarnation(record.bornMs, former.record.bornMs),
+    if (this.isEnded(record.id)) return { kind: 'retired' };
+    const current = this.byName.get(record.name);
+    const previous = current?.record.id === record.id ? undefined : current;
+    if (previous) {
+      this.supersede(
+        previous,
+        previous.isListed && isLaterIncarnation(record.bornMs, previous.record.bornMs),
       );
     }
-    this.store(record, true);
+    this.storeRecord(record, true);
     this.regroup();
-    return former ? { kind: 'reborn', former: former.record } : { kind: 'stored' };
+    return previous ? { kind: 'reborn', former: previous.record } : { kind: 'stored' };
   }
 
   /**
-   * An engine states another start in its answer to a call that was addressed to a life. Where that is the
-   * life in the list, the one that answers is the later one, whatever the starts say: the call began when
-   * the listed life was known. Its entries are refused from then on only if the starts agree. An earlier
-   * start that was never heard before waits for its entry, unless the listed life is a guess. Answers the
-   * life that ended.
+   * Records that a response to a call addressed to one incarnation came from another. If the call
+   * was addressed to the registered incarnation, the responder is the newer one regardless of start
+   * times, because the call began when the registered incarnation was known. Entries of the
+   * registered incarnation are then ignored only if the start times confirm this order. An unknown
+   * earlier start has to wait for its store entry, unless the registered incarnation is inferred.
+   * Returns the record of the incarnation that ended.
    */
-  noteAnswer(asked: string, bornMs: number): EngineRecord | undefined {
-    const { name } = parseIncarnation(asked);
-    const present = this.byName.get(name);
-    if (present?.record.id !== asked) return this.noteHearsay(name, bornMs);
-    const isLater = isLaterIncarnation(bornMs, present.record.bornMs);
-    const isKnown = this.followed.find(incarnationOf(name, bornMs)) !== undefined;
-    if (!isLater && !isKnown && present.isListed) return undefined;
-    return this.succeed(present, bornMs, isLater);
+  noteAnswer(expectedId: string, startedAtMs: number): EngineRecord | undefined {
+    const { name } = parseIncarnation(expectedId);
+    const current = this.byName.get(name);
+    if (current?.record.id !== expectedId) return this.noteHearsay(name, startedAtMs);
+    const isLater = isLaterIncarnation(startedAtMs, current.record.bornMs);
+    const isKnown = this.superseded.find(incarnationOf(name, startedAtMs)) !== undefined;
+    if (!isLater && !isKnown && current.isListed) return undefined;
+    return this.startIncarnation(current, startedAtMs, isLater);
   }
 
   /**
-   * Another source than the engine or the store's list shows a life: one that was not heard of before and
-   * began later takes the place of the listed one, which its next entry or answer brings back. A life that
-   * was followed stays where it is: others may speak of it for as long as they have not heard. Answers
-   * the life that ended.
+   * Records an incarnation reported by a source other than the engine or the store. An unknown
+   * incarnation with a later start replaces the registered one, which its next entry or response
+   * restores. A superseded incarnation is not restored, since others may report it until they learn
+   * of its successor. Returns the record of the incarnation that ended.
    */
-  noteHearsay(name: string, bornMs: number): EngineRecord | undefined {
-    const present = this.byName.get(name);
-    if (!present || !isLaterIncarnation(bornMs, present.record.bornMs)) return undefined;
-    if (this.followed.find(incarnationOf(name, bornMs))) return undefined;
-    return this.succeed(present, bornMs, false);
+  noteHearsay(name: string, startedAtMs: number): EngineRecord | undefined {
+    const current = this.byName.get(name);
+    if (!current || !isLaterIncarnation(startedAtMs, current.record.bornMs)) return undefined;
+    if (this.superseded.find(incarnationOf(name, startedAtMs))) return undefined;
+    return this.startIncarnation(current, startedAtMs, false);
   }
 
   /**
-   * An engine said in an answer that it leaves. While the store is out nothing else tells: without this,
-   * requests reached an engine 12 s after its word (counted on a day of a seven-router deployment). A life
-   * whose entry is missing then does not come back either. Answers whether that was news.
+   * Records that an engine announced its shutdown in a response, which may be the only sign
+   * during a store outage. An incarnation without an entry is retired. Returns whether this was
+   * unknown.
    */
   noteLeaving(id: string): boolean {
     const engine = this.engines.get(id);
     if (!engine) return this.retire(id);
     if (engine.record.isDraining) return false;
     engine.record = { ...engine.record, isDraining: true };
-    this.view += 1;
+    this.changeCount += 1;
     return true;
   }
 
   remove(id: string): void {
     const engine = this.engines.get(id);
     if (!engine) return;
-    this.endLife(engine.record, engine.record.isDraining);
+    this.removeIncarnation(engine.record, engine.record.isDraining);
     this.regroup();
   }
 
-  /** Another engine answered at the engine's address: this life is over. */
+  /**
+   * Records that another engine responded at the engine's address, so this incarnation has ended.
+   */
   noteReplaced(id: string): boolean {
     const engine = this.engines.get(id);
     if (!engine) return false;
-    this.endLife(engine.record, true);
+    this.removeIncarnation(engine.record, true);
     this.regroup();
     return true;
   }
 
-  private isOver(id: string): boolean {
-    return this.retired.has(id) || this.followed.find(id)?.isForGood === true;
+  private isEnded(id: string): boolean {
+    return this.retired.has(id) || this.superseded.find(id)?.isPermanent === true;
   }
 
   /**
-   * A life that was shown by another source than its entry takes a listed one's place. Until its own entry
-   * comes, which may last as long as the store is out, it is taken to serve where and what the former one
-   * did; an engine has the weights after a restart that it had before, and a request names those it
-   * expects. A life that was in the list before has what was known of it.
+   * Replaces the registered incarnation by one that was observed before its store entry arrived.
+   * Until then, the new incarnation is assumed to have the address, service and weights of the
+   * previous one: an engine loads the same weights after a restart, and requests state the version
+   * they expect. A superseded incarnation keeps its earlier record.
    */
-  private succeed(present: Engine, bornMs: number, isForGood: boolean): EngineRecord {
-    const { record } = present;
-    const id = incarnationOf(record.name, bornMs);
-    this.follow(present, isForGood);
-    const known = this.followed.find(id);
-    const guess = { ...record, id, bornMs, modelVersions: loadedVersions(present) };
+  private startIncarnation(
+    current: Engine,
+    startedAtMs: number,
+    isPermanent: boolean,
+  ): EngineRecord {
+    const { record } = current;
+    const id = incarnationOf(record.name, startedAtMs);
+    this.supersede(current, isPermanent);
+    const known = this.superseded.find(id);
+    const inferred = {
+      ...record,
+      id,
+      bornMs: startedAtMs,
+      modelVersions: loadedVersions(current),
+    };
     const mayServe = !this.retired.has(id) && (known !== undefined || !record.isDraining);
-    if (mayServe) this.store(known?.record ?? guess, known?.isListed ?? false);
+    if (mayServe) this.storeRecord(known?.record ?? inferred, known?.isListed ?? false);
     this.regroup();
     return record;
   }
 
-  /** Another life takes the place of a listed one. */
-  private follow(former: Engine, isForGood: boolean): void {
-    const record = { ...former.record, modelVersions: loadedVersions(former) };
-    this.followed.note({ record, isListed: former.isListed, isForGood });
-    this.endLife(record, false);
+  /** Moves a registered incarnation to the superseded ones. */
+  private supersede(previous: Engine, isPermanent: boolean): void {
+    const record = { ...previous.record, modelVersions: loadedVersions(previous) };
+    this.superseded.add({ record, isListed: previous.isListed, isPermanent });
+    this.removeIncarnation(record, false);
   }
 
-  private endLife({ id, name }: EngineRecord, isForGood: boolean): void {
-    if (isForGood) this.retire(id);
+  private removeIncarnation({ id, name }: EngineRecord, isPermanent: boolean): void {
+    if (isPermanent) this.retire(id);
     this.engines.delete(id);
     this.byName.delete(name);
   }
 
-  /** Answers whether the life was not retired before. */
+  /** Returns whether the incarnation was not retired before. */
   private retire(id: string): boolean {
     if (this.retired.has(id)) return false;
     if (this.retired.size >= MAXIMUM_RETIRED) this.retired.clear();
@@ -216,15 +234,15 @@
     return true;
   }
 
-  private store(record: EngineRecord, isListed: boolean): void {
-    const present = this.engines.get(record.id);
-    const before = this.followed.take(record.id)?.record ?? present?.record;
-    // An incarnation that said it drains never takes work again.
-    const isDraining = record.isDraining || before?.isDraining === true;
+  private storeRecord(record: EngineRecord, isListed: boolean): void {
+    const current = this.engines.get(record.id);
+    const earlierRecord = this.superseded.remove(record.id)?.record ?? current?.record;
+    // A draining incarnation never accepts work again.
+    const isDraining = record.isDraining || earlierRecord?.isDraining === true;
     const stored = { ...record, isDraining };
-    if (present) {
-      present.record = stored;
-      present.isListed ||= isListed;
+    if (current) {
+      current.record = stored;
+      current.isListed ||= isListed;
       return;
     }
     const engine: Engine = {
@@ -238,7 +256,7 @@
   }
 
   private regroup(): void {
-    this.view += 1;
+    this.changeCount += 1;
     this.byService.clear();
     for (const engine of this.engines.values()) {
       const group = this.byService.get(engine.record.service);
@@ -248,13 +266,13 @@
   }
 }
 
-/** Versions that an engine was last known to have. */
+/** Last known weight versions of an engine. */
 function loadedVersions(engine: Engine): ReadonlyMap<string, number> {
   const models = [...engine.record.modelVersions.keys()];
   return new Map(models.map((model) => [model, versionAt(engine, model) ?? 0]));
 }
 
-/** Version of a model's weights at an engine; the newest of what was listed and what was seen. */
+/** Weight version of a model at an engine: the newer of the listed and the observed one. */
 export function versionAt(engine: Engine, model: string): number | undefined {
   const listed = engine.record.modelVersions.get(model);
   const observed = engine.observedVersions.get(model);
--- a/src/state/routing/feed-share.ts
+++ b/src/state/routing/feed-share.ts
@@ -1,29 +1,32 @@
-/** Which cache feeds a router follows itself, so that no holder and no router has too many. Pure. */
+/**
+ * Selects the cache event feeds that a router subscribes to, within the limits of both sides. Pure.
+ */
 
-/** A holder whose events may be followed. */
+/** A feed of cache events. */
 export interface HeldFeed {
-  /** Identity of the holder. */
+  /** Engine incarnation or store address that publishes the feed. */
   readonly holder: string;
   /** HOST:PORT. */
   readonly address: string;
-  /** Calls for events that it holds at once, from all routers. */
+  /** Maximum concurrent event calls at the holder, from all routers together. */
   readonly maximumCalls: number;
 }
 
-/** Feeds one router follows at most. */
+/** Maximum feeds per router. */
 const MAXIMUM_FEEDS = 48;
-/** Calls at each holder that are left to routers whose rank is not settled. */
-const CALLS_KEPT_FREE = 2;
+/** Event calls left free at each holder for routers whose rank is still changing. */
+const RESERVED_CALLS = 2;
 /**
- * With less than this share of the holders, what is heard changes few choices and costs more than it
- * saves: then the routers go by the home that they agree on for each subject, and hear of no holder.
+ * Minimum share of all holders that a router must cover. Below it, the events change too few
+ * placements to be worth their cost, and routers rely on the home ranking alone.
  */
-const LEAST_USEFUL_SHARE = 0.5;
+const MINIMUM_COVERAGE = 0.5;
 
 /**
- * The holders in the order of their names form a ring; each router follows a stretch of it that begins
- * at its rank's place. The stretches are as long as the calls of the holders and the bound of a router
- * allow, so in a small deployment every router follows all, and in a large one none follows any.
+ * Returns the feeds assigned to the router with this rank. The holders form a ring in order of
+ * name, and each router takes a consecutive range that starts at the position of its rank. The
+ * range is as long as the limits of holders and routers allow: all feeds in a small deployment,
+ * none in a large one.
  */
 export function ownShareOfFeeds(
   feeds: readonly HeldFeed[],
@@ -32,10 +35,10 @@
 ): HeldFeed[] {
   if (feeds.length === 0) return [];
   const ring = [...feeds].sort((left, right) => (left.holder < right.holder ? -1 : 1));
-  const calls = Math.min(...ring.map((feed) => feed.maximumCalls)) - CALLS_KEPT_FREE;
-  const allowed = Math.floor((Math.max(0, calls) * ring.length) / Math.max(1, routers));
-  const length = Math.min(ring.length, MAXIMUM_FEEDS, allowed);
-  if (length < ring.length * LEAST_USEFUL_SHARE) return [];
+  const calls = Math.min(...ring.map((feed) => feed.maximumCalls)) - RESERVED_CALLS;
+  const affordable = Math.floor((Math.max(0, calls) * ring.length) / Math.max(1, routers));
+  const length = Math.min(ring.length, MAXIMUM_FEEDS, affordable);
+  if (length < ring.length * MINIMUM_COVERAGE) return [];
   const start = Math.floor((rank * ring.length) / Math.max(1, routers));
   return Array.from({ length }, (_, index) => ring[(start + index) % ring.length] as HeldFeed);
 }
--- a/src/state/routing/finish-estimate.ts
+++ b/src/state/routing/finish-estimate.ts
@@ -1,86 +1,92 @@
 /**
- * When a generation would be finished, as learnt from the answers of its model's engines: the time to the
- * first token against what the placement expected, and the pace of the tokens after it. The pace is taken
- * from the streams that run, since those that have ended show how it was when they began. Pure.
+ * Estimates when a generation will finish, from recent responses for the same model: the ratio of
+ * measured to expected time to first token, and the pace of the response chunks. The pace is taken
+ * from running streams, because finished ones reflect an earlier load. Pure.
  */
 
-/** What one answer showed, from its send to its end. Times in milliseconds. */
+/** Observation of one response, from send to end. Times in milliseconds. */
 export interface FinishSample {
-  /** What the placement expected of waiting and reading. */
+  /** Time to first token expected by the placement. */
   readonly expectedMs: number;
   readonly firstTokenMs: number;
-  /** Pieces of the answer that came. */
+  /** Chunks in the response. */
   readonly pieces: number;
-  /** Tokens that the caller allowed. */
+  /** Output tokens allowed by the caller. */
   readonly outputTokens: number;
 }
 
-/** Weight of the newest answer in the moving means; some thirty answers show how it is now. */
-const NEWEST_WEIGHT = 0.06;
-/** Weight of the newest pause between two pieces; many come in a second. */
-const NEWEST_PAUSE_WEIGHT = 0.01;
-/** A short expectation says little about the share by which it is wrong. */
-const SHORTEST_EXPECTED_MS = 150;
-/** Before this many answers nothing is known. */
-const SAMPLES_NEEDED = 20;
-/** What was learnt longer ago says nothing about the present load. */
-const LIFETIME_MS = 4_000;
+/** Weight of the latest response in the moving averages. */
+const SMOOTHING_FACTOR = 0.06;
+/** Weight of the latest pause between two chunks, of which there are many per second. */
+const PAUSE_SMOOTHING_FACTOR = 0.01;
+/** Ratios for a shorter expected time are too noisy. */
+const MINIMUM_EXPECTED_MS = 150;
+/** Minimum responses before an estimate is available. */
+const MINIMUM_SAMPLES = 20;
+/** Estimates expire this long after the last response. */
+const SAMPLE_LIFETIME_MS = 4_000;
 
-interface ModelRecord {
+interface ModelEstimate {
   samples: number;
-  learntMs: number;
-  /** First token against the expectation. */
+  updatedAtMs: number;
+  /** Measured time to first token divided by the expected time. */
   firstTokenRatio: number;
-  /** Pieces of an answer for each token that the caller allows. */
-  piecesPerToken: number;
-  /** Pause between two pieces of a stream, in milliseconds; undefined before the first. */
+  /** Chunks in a response per output token allowed by the caller. */
+  chunksPerToken: number;
+  /** Pause between two chunks of a stream, in milliseconds; undefined before the first. */
   pauseMs: number | undefined;
 }
 
-/** Estimates by model. */
+/** Finish estimates by model. */
 export class FinishEstimate {
-  private readonly models = new Map<string, ModelRecord>();
+  private readonly models = new Map<string, ModelEstimate>();
 
-  /** Two pieces of a stream came with this pause between them. */
+  /** Records the pause between two chunks of a stream. */
   notePause(model: string, pauseMs: number): void {
-    const record = this.models.get(model);
-    if (!record) return;
-    record.pauseMs = mix(record.pauseMs ?? pauseMs, pauseMs, NEWEST_PAUSE_WEIGHT);
+    const estimate = this.models.get(model);
+    if (!estimate) return;
+    estimate.pauseMs = movingAverage(estimate.pauseMs ?? pauseMs, pauseMs, PAUSE_SMOOTHING_FACTOR);
   }
 
-  /** An answer has come to its end. */
+  /** Records the end of a response. */
   noteEnd(model: string, sample: FinishSample, nowMs: number): void {
-    const ratio = sample.firstTokenMs / Math.max(SHORTEST_EXPECTED_MS, sample.expectedMs);
-    const piecesPerToken = sample.pieces / Math.max(1, sample.outputTokens);
-    const record = this.models.get(model);
-    if (!record) {
-      const learnt = { samples: 1, learntMs: nowMs, firstTokenRatio: ratio, piecesPerToken };
-      this.models.set(model, { ...learnt, pauseMs: undefined });
+    const ratio = sample.firstTokenMs / Math.max(MINIMUM_EXPECTED_MS, sample.expectedMs);
+    const chunksPerToken = sample.pieces / Math.max(1, sample.outputTokens);
+    const estimate = this.models.get(model);
+    if (!estimate) {
+      const initial = { samples: 1, updatedAtMs: nowMs, firstTokenRatio: ratio, chunksPerToken };
+      this.models.set(model, { ...initial, pauseMs: undefined });
       return;
     }
-    record.samples += 1;
-    record.learntMs = nowMs;
-    record.piecesPerToken = mix(record.piecesPerToken, piecesPerToken, NEWEST_WEIGHT);
-    if (sample.expectedMs < SHORTEST_EXPECTED_MS) return;
-    record.firstTokenRatio = mix(record.firstTokenRatio, ratio, NEWEST_WEIGHT);
+    estimate.samples += 1;
+    estimate.updatedAtMs = nowMs;
+    estimate.chunksPerToken = movingAverage(
+      estimate.chunksPerToken,
+      chunksPerToken,
+      SMOOTHING_FACTOR,
+    );
+    if (sample.expectedMs < MINIMUM_EXPECTED_MS) return;
+    estimate.firstTokenRatio = movingAverage(estimate.firstTokenRatio, ratio, SMOOTHING_FACTOR);
   }
 
-  /** Time from the send to the last token, in milliseconds; undefined where too little is known. */
+  /**
+   * Estimated time from send to the last token, in milliseconds; undefined without enough samples.
+   */
   finishMs(
     model: string,
     expectedMs: number,
     outputTokens: number,
     nowMs: number,
   ): number | undefined {
-    const record = this.models.get(model);
-    if (!record || record.samples < SAMPLES_NEEDED) return undefined;
-    if (nowMs - record.learntMs > LIFETIME_MS) return undefined;
-    const streamingMs = outputTokens * record.piecesPerToken * (record.pauseMs ?? 0);
-    return expectedMs * record.firstTokenRatio + streamingMs;
+    const estimate = this.models.get(model);
+    if (!estimate || estimate.samples < MINIMUM_SAMPLES) return undefined;
+    if (nowMs - estimate.updatedAtMs > SAMPLE_LIFETIME_MS) return undefined;
+    const streamingMs = outputTokens * estimate.chunksPerToken * (estimate.pauseMs ?? 0);
+    return expectedMs * estimate.firstTokenRatio + streamingMs;
   }
 }
 
-/** Moves a mean towards the newest value. */
-function mix(mean: number, newest: number, weight: number): number {
-  return mean + weight * (newest - mean);
+/** Exponential moving average. */
+function movingAverage(mean: number, sample: number, weight: number): number {
+  return mean + weight * (sample - mean);
 }
--- a/src/state/routing/generation.ts
+++ b/src/state/routing/generation.ts
@@ -1,15 +1,15 @@
-/** What a generation request tells of its prompt. */
+/** Shape of a generation request: its model, prompt parts and token counts. */
 
-/** Part of a prompt, known by its identifier. */
+/** Part of a prompt, identified by its content. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What a generation tells of itself. */
+/** The properties of a generation request that matter to routing. */
 export interface GenerationShape {
   readonly model: string;
-  /** In order; the last belongs to the request or its session, the others are shared. */
+  /** In prompt order; the last part belongs to the request or session, the others may be shared. */
   readonly parts: readonly PromptPart[];
   readonly promptTokens: number;
   readonly maximumOutputTokens: number;
@@ -20,13 +20,13 @@
   return generation.parts.slice(0, -1);
 }
 
-/** What the prompt is about: its last shared part, or the request's own where none is shared. */
+/** Groups requests by their last shared part, or by the request's own part if none is shared. */
 export function affinityKeyOf(generation: GenerationShape): string {
   const { parts } = generation;
   return (parts.at(-2) ?? parts.at(-1))?.id ?? '';
 }
 
-/** Engines look up kept prompts under this text; it names the weights, and the tenant where walled. */
+/** Namespace of cached prefixes: the weight version, and the tenant if its prompts are isolated. */
 export function cacheSaltOf(
   model: string,
   version: number,
--- a/src/state/routing/home-ranking.ts
+++ b/src/state/routing/home-ranking.ts
@@ -1,61 +1,62 @@
 /**
- * Where a subject's prompts belong: an order of holders for each subject that all routers compute alike
- * (rendezvous hashing), so that requests about one thing meet at one engine without any word between
- * the routers. Holders' hashes are kept, so that ranking hundreds costs microseconds.
+ * Ranks holders for each affinity key by rendezvous hashing. All routers compute the same ranking
+ * without communication, so requests with the same affinity key reach the same engine. Hashes of
+ * holders are cached to keep the ranking of hundreds of holders cheap.
  */
 import type { Hasher } from '../../runtime/hasher.js';
 
-/** Hashes kept; far more than holders at any time. */
-const MAXIMUM_HASHES = 8_192;
-/** Holders ranked for each fit one that is wanted; where too few of them are fit, all are looked at. */
-const RANKED_FOR_EACH_FIT = 3;
+/** Maximum cached hashes; far above the number of concurrent holders. */
+const MAXIMUM_CACHED_HASHES = 8_192;
+/** Holders ranked per requested eligible one; if too few are eligible, all holders are checked. */
+const CANDIDATES_PER_ELIGIBLE = 3;
 
-/** Ranks holders for subjects. */
+/** Ranks holders by affinity key. */
 export class HomeRanking {
   private readonly hashes = new Map<string, number>();
 
   constructor(private readonly hasher: Hasher) {}
 
-  /** The `count` first of `holders` for a subject, the first one first. */
+  /** The `count` highest-ranked holders for an affinity key, in order of rank. */
   first<Holder>(
-    subject: string,
+    affinityKey: string,
     holders: readonly Holder[],
     idOf: (holder: Holder) => string,
     count: number,
   ): Holder[] {
-    const subjectHash = this.hash(subject, 0n);
+    const affinityHash = this.hash(affinityKey, 0n);
     const best: { readonly holder: Holder; readonly weight: number }[] = [];
     for (const holder of holders) {
-      const weight = mix(subjectHash ^ this.hashOf(idOf(holder)));
+      const weight = mixBits(affinityHash ^ this.hashOf(idOf(holder)));
       if (best.length === count && weight <= (best.at(-1)?.weight ?? 0)) continue;
-      const place = best.findIndex((each) => each.weight < weight);
-      best.splice(place < 0 ? best.length : place, 0, { holder, weight });
+      const position = best.findIndex((each) => each.weight < weight);
+      best.splice(position < 0 ? best.length : position, 0, { holder, weight });
       if (best.length > count) best.pop();
     }
     return best.map((each) => each.holder);
   }
 
   /**
-   * What {@link first} answers for the holders that are fit, without a look at each of them: the first ones of
-   * all nearly always are.
+   * Equals {@link first} over the eligible holders, but checks only the highest-ranked ones where
+   * that is enough.
    */
-  firstFit<Holder>(
-    subject: string,
+  firstEligible<Holder>(
+    affinityKey: string,
     holders: readonly Holder[],
     idOf: (holder: Holder) => string,
     count: number,
-    isFit: (holder: Holder) => boolean,
+    isEligible: (holder: Holder) => boolean,
   ): Holder[] {
-    const ranked = this.first(subject, holders, idOf, count * RANKED_FOR_EACH_FIT);
-    const fit = ranked.filter(isFit);
-    if (fit.length >= count || ranked.length === holders.length) return fit.slice(0, count);
-    return this.first(subject, holders.filter(isFit), idOf, count);
+    const ranked = this.first(affinityKey, holders, idOf, count * CANDIDATES_PER_ELIGIBLE);
+    const eligible = ranked.filter(isEligible);
+    if (eligible.length >= count || ranked.length === holders.length)
+      return eligible.slice(0, count);
+    return this.first(affinityKey, holders.filter(isEligible), idOf, count);
   }
 
   private hashOf(id: string): number {
     let hash = this.hashes.get(id);
     if (hash === undefined) {
-      if (this.hashes.size >= MAXIMUM_HASHES) this.hashes.clear();
+      if (this.hashes.size >= MAXIMUM_CACHED_HASHES) this.hashes.clear();
       hash = this.hash(id, 1n);
       this.hashes.set(id, hash);
     }
@@ -68,7 +69,7 @@
 }
 
 /** Spreads a 32-bit value over all bits (the finalizer of MurmurHash3). */
-function mix(value: number): number {
+function mixBits(value: number): number {
   let bits = value;
   bits = Math.imul(bits ^ (bits >>> 16), 0x85ebca6b);
   bits = Math.imul(bits ^ (bits >>> 13), 0xc2b2ae35);
--- a/src/state/routing/load-table.ts
+++ b/src/state/routing/load-table.ts
@@ -1,15 +1,15 @@
-/** Work at engines: what this router has sent and what the other routers last told. */
+/** Load of the engines: requests sent by this router and load reported by other routers. */
 
-/** Work under way at one engine. */
+/** Load of one engine. */
 export interface EngineLoad {
   readonly requests: number;
-  /** Prompt tokens not known to be read yet. */
+  /** Prompt tokens still to be prefilled, as far as known. */
   readonly unreadTokens: number;
-  /** Tokens whose memory the requests hold. */
+  /** Tokens of KV cache taken by the requests. */
   readonly heldTokens: number;
 }
 
-/** A report of work, by engine. */
+/** Load by engine. */
 export type LoadReport = ReadonlyMap<string, EngineLoad>;
 
 interface StoredReport {
@@ -18,46 +18,46 @@
   readonly sequence: number;
 }
 
-/** Reports older than this say nothing about the present. */
+/** Lifetime of a load report. */
 export const REPORT_LIFETIME_MS = 2_000;
 
 const NO_LOAD: EngineLoad = { requests: 0, unreadTokens: 0, heldTokens: 0 };
 
-/** Sums own and reported work. */
+/** Sums this router's own load and the reported loads. */
 export class LoadTable {
   private readonly own = new Map<string, EngineLoad>();
   private readonly reports = new Map<string, StoredReport>();
-  /** Sums of the reports; kept up by differences, since a report comes for each few requests. */
-  private readonly totals = new Map<string, EngineLoad>();
-  private changes = 0;
+  /** Sums of the reports; updated incrementally, because reports are frequent. */
+  private readonly reportedTotals = new Map<string, EngineLoad>();
+  private ownChanges = 0;
 
-  /** Changes this router's own work at an engine by the given amounts. */
+  /** Adds the given amounts, which may be negative, to this router's load at an engine. */
   change(engineId: string, change: EngineLoad): void {
-    this.changes += 1;
+    this.ownChanges += 1;
     const next = addLoads(this.own.get(engineId) ?? NO_LOAD, change);
     if (next.requests <= 0) this.own.delete(engineId);
     else this.own.set(engineId, next);
   }
 
-  /** This router's own work, to tell the others. */
+  /** This router's own load, to be reported to the others. */
   get ownLoads(): LoadReport {
     return this.own;
   }
 
-  /** Changes with every change of the own work. */
+  /** Changes whenever this router's own load changes. */
   get ownVersion(): number {
-    return this.changes;
+    return this.ownChanges;
   }
 
-  /** This router's own requests at an engine. */
+  /** Number of this router's running requests at an engine. */
   ownRequestsAt(engineId: string): number {
     return this.own.get(engineId)?.requests ?? 0;
   }
 
   /**
-   * Takes a report of work that is not this router's own; one that was overtaken by a newer is dropped.
+   * Stores a load report from another source, unless a newer one has arrived.
    *
-   * @param source who reports: a router its own work, or a collector that of many
+   * @param source a router that reports its own load, or a collector that reports the load of many
    */
   receive(
     source: string,
@@ -66,22 +66,22 @@
     nowMs: number,
     lifetimeMs = REPORT_LIFETIME_MS,
   ): void {
-    const present = this.reports.get(source);
-    const isFresh = present !== undefined && nowMs < present.untilMs;
-    if (isFresh && present.sequence >= sequence) return;
-    if (present) this.subtract(present.loads);
+    const previous = this.reports.get(source);
+    const isFresh = previous !== undefined && nowMs < previous.untilMs;
+    if (isFresh && previous.sequence >= sequence) return;
+    if (previous) this.subtract(previous.loads);
     this.reports.set(source, { loads, untilMs: nowMs + lifetimeMs, sequence });
     this.add(loads);
   }
 
-  /** Work of all routers at an engine. */
+  /** Load of an engine from all routers. */
   at(engineId: string): EngineLoad {
     const own = this.own.get(engineId) ?? NO_LOAD;
-    const others = this.totals.get(engineId);
+    const others = this.reportedTotals.get(engineId);
     return others ? addLoads(own, others) : own;
   }
 
-  /** Drops reports that are too old. */
+  /** Removes expired reports. */
   expire(nowMs: number): void {
     for (const [source, report] of this.reports) {
       if (nowMs < report.untilMs) continue;
@@ -92,21 +92,21 @@
 
   private add(loads: LoadReport): void {
     for (const [engineId, load] of loads) {
-      const present = this.totals.get(engineId);
-      this.totals.set(engineId, present ? addLoads(present, load) : load);
+      const previous = this.reportedTotals.get(engineId);
+      this.reportedTotals.set(engineId, previous ? addLoads(previous, load) : load);
     }
   }
 
   private subtract(loads: LoadReport): void {
     for (const [engineId, load] of loads) {
-      const left = subtractLoads(this.totals.get(engineId) ?? NO_LOAD, load);
-      if (isNothing(left)) this.totals.delete(engineId);
-      else this.totals.set(engineId, left);
+      const remaining = subtractLoads(this.reportedTotals.get(engineId) ?? NO_LOAD, load);
+      if (isIdle(remaining)) this.reportedTotals.delete(engineId);
+      else this.reportedTotals.set(engineId, remaining);
     }
   }
 }
 
-/** Sum of two loads; tokens never fall below zero. */
+/** Sum of two loads; token counts are clamped at zero. */
 export function addLoads(left: EngineLoad, right: EngineLoad): EngineLoad {
   return {
     requests: left.requests + right.requests,
@@ -115,7 +115,7 @@
   };
 }
 
-/** What is left of a load without a part of it; nothing falls below zero. */
+/** Difference of two loads, clamped at zero. */
 export function subtractLoads(left: EngineLoad, right: EngineLoad): EngineLoad {
   return {
     requests: Math.max(0, left.requests - right.requests),
@@ -124,7 +124,7 @@
   };
 }
 
-/** Whether nothing is under way. */
-export function isNothing({ requests, unreadTokens, heldTokens }: EngineLoad): boolean {
+/** Whether all amounts are zero. */
+export function isIdle({ requests, unreadTokens, heldTokens }: EngineLoad): boolean {
   return requests === 0 && unreadTokens === 0 && heldTokens === 0;
 }
--- a/src/state/routing/peer-cooldowns.ts
+++ b/src/state/routing/peer-cooldowns.ts
@@ -1,21 +1,21 @@
 /**
- * Routers that are passed over for a while, since they did not answer: asked again and again, each would
- * cost a wait. Pure.
+ * Cooldowns for peer routers that failed to respond. Skipping such a peer for a while avoids
+ * waiting for another timeout on every query. Pure.
  */
 
-/** Who is passed over, and until when. */
+/** Tracks which peers are in cooldown and until when. */
 export class PeerCooldowns {
   private readonly untilMs = new Map<string, number>();
 
-  /** @param forMs how long a router is passed over, in milliseconds */
-  constructor(private readonly forMs: number) {}
+  /** @param durationMs length of a cooldown in milliseconds */
+  constructor(private readonly durationMs: number) {}
 
-  /** Passes a router over from now on. */
+  /** Starts or restarts the cooldown of a peer. */
   add(router: string, nowMs: number): void {
-    this.untilMs.set(router, nowMs + this.forMs);
+    this.untilMs.set(router, nowMs + this.durationMs);
   }
 
-  /** The router has answered. */
+  /** Ends the cooldown of a peer that responded. */
   remove(router: string): void {
     this.untilMs.delete(router);
   }
--- a/src/state/routing/placement.ts
+++ b/src/state/routing/placement.ts
@@ -1,4 +1,4 @@
-/** The decision: which engine answers a request, and where it takes kept prompts from. Pure. */
+/** Chooses the engine for a request and the source from which it fetches cached prefixes. Pure. */
 import { type RandomSource, randomInteger } from '../../runtime/random.js';
 import type { CacheStore, EngineProfile } from './configuration.js';
 import type { EngineHealth } from './engine-health.js';
@@ -11,7 +11,7 @@
 import {
   type BestSource,
   CachedPromptsBySalt,
-  READ_TOKENS_PER_MS,
+  PREFILL_TOKENS_PER_MS,
   bestSource,
   sharedTokensOf,
 } from './prompt-sources.js';
@@ -20,49 +20,49 @@
 import type { SlotView } from './send-slots.js';
 import type { WeightVersions } from './weight-versions.js';
 
-/** What a placement is decided from. */
+/** Input of a placement decision. */
 export interface PlacementRequest {
   readonly candidates: readonly Engine[];
   readonly profile: EngineProfile | undefined;
   readonly generation: GenerationShape | undefined;
-  /** Tenant whose cached prompts are its own; undefined where they are shared. */
+  /** Tenant with isolated cached prompts; undefined if cached prompts are shared. */
   readonly isolatedTenant: string | undefined;
-  /** Engines that this request has been sent to. */
+  /** Engines already tried for this request. */
   readonly excluded: ReadonlySet<string>;
   /** Zone of this router. */
   readonly zone: string;
   readonly stores: readonly CacheStore[];
-  /** How the cache stores stand to what the group sends to them. */
+  /** Whether the prompts of the group exceed the retention capacity of the cache stores. */
   readonly storePressure: StorePressure;
-  /** Requests this router may have at one engine at once. */
+  /** Maximum concurrent requests of this router at one engine. */
   readonly connectionShare: number;
-  /** Decides which limited engines this router may send to now. */
+  /** Send slots of this router at rate-limited engines. */
   readonly turns: SlotView;
 }
 
-/** The chosen engine and how the request is sent there. */
+/** The chosen engine and the parameters of the call to it. */
 export interface Placement {
   readonly engine: Engine;
   readonly expectedVersion: number | undefined;
   readonly cacheSalt: string | undefined;
   readonly fetchFrom: string | undefined;
   readonly saveTo: string | undefined;
-  /** Prompt tokens the engine is expected to read itself. */
+  /** Prompt tokens that the engine is expected to prefill. */
   readonly unreadTokens: number;
-  /** Time until the first token, as estimated from loads and what is kept, in milliseconds. */
+  /** Estimated time to first token in milliseconds. */
   readonly expectedMs: number;
-  /** What the choice compared, in milliseconds: the expected time and preferences. */
+  /** Cost by which engines are compared, in milliseconds: the expected time and penalties. */
   readonly costMs: number;
 }
 
-/** Why no engine was chosen. */
+/** Reasons why no engine was chosen. */
 export type PlacementFailure =
   | RejectionReason.NoEngine
   | RejectionReason.EnginesBackingOff
   | RejectionReason.EnginesLimited
   | RejectionReason.AllBusy;
 
-/** The tables a placement reads. */
+/** State read by a placement. */
 export interface PlacementTables {
   readonly loads: LoadTable;
   readonly health: EngineHealth;
@@ -72,55 +72,56 @@
   readonly homes: HomeRanking;
 }
 
-/** The first token of a request that waits behind another comes this much later. */
-const RUNNING_REQUEST_MS = 1;
-/** Cost of taking memory for a second copy, for each 1,000 tokens. */
-const COPY_MS_PER_KILOTOKEN = 8;
+/** Delay of the first token for each running request at the engine. */
+const RUNNING_REQUEST_COST_MS = 1;
+/** Cost of the cache capacity that a second copy of cached tokens takes. */
+const COPY_COST_MS_PER_KILOTOKEN = 8;
 /**
- * Preference for the first engine of the ranking that all routers agree on, for a subject nobody is known
- * to keep, in times that an engine needs to read the shared parts: reading them again costs more than a
- * late answer. Short prompts so go where least waits. The next of the ranking are preferred by less, so
- * that what a busy home leaves over meets at a few engines. Measured on the large fleets.
+ * Penalty for an engine other than the home of the affinity key where no part of the prompt can be
+ * reused, as a multiple of the time to prefill the shared parts. It exceeds 1 because repeated
+ * prefill costs more than a delayed response. It scales with the shared parts, so short prompts go
+ * to the least loaded engine. Engines ranked after the home get a smaller penalty than the others,
+ * so that the overflow of a busy home is concentrated on a few engines.
  */
-const AWAY_FROM_HOME_READINGS = 2;
-const OTHER_ZONE_MS = 8;
-/** Memory beyond this share of an engine makes requests give way. */
-const FULL_MEMORY_SHARE = 0.92;
-const FULL_MEMORY_MS = 2_000;
-/** Wait that each request beyond an engine's slots adds where nothing is generated: a guess at one short call. */
-const QUEUED_REQUEST_MS = 200;
-/** Preference for an engine with free slots over one whose slots are all taken; more than another zone costs. */
-const ALL_SLOTS_TAKEN_MS = 50;
-/** A cost that only an engine under suspicion has. */
-const FAILING_MS = 400;
-/** Engines weighed for one request, besides those that keep something of its prompt. */
-const MAXIMUM_WEIGHED = 48;
+const HOME_AFFINITY_FACTOR = 2;
+const CROSS_ZONE_COST_MS = 8;
+/** Engines with a larger share of their KV cache in use count as full. */
+const FULL_CACHE_SHARE = 0.92;
+const FULL_CACHE_COST_MS = 2_000;
+/** Estimated wait per request beyond an engine's slots, for calls that generate no tokens. */
+const QUEUED_REQUEST_COST_MS = 200;
+/** Cost of an engine with no free slots relative to an idle one; exceeds the cross-zone cost. */
+const FULL_UTILIZATION_COST_MS = 50;
+/** Cost of an engine at which all recent requests failed. */
+const FAILURE_COST_MS = 400;
+/** Maximum engines sampled for one request, besides those with cached prefixes of its prompt. */
+const MAXIMUM_SAMPLED_ENGINES = 48;
 
-/** Engines of a subject's ranking that are weighed in any case. */
-const HOMES_WEIGHED = 3;
+/** Engines of the home ranking that are always considered. */
+const HOME_COUNT = 3;
 
-/** Chooses the engine of lowest cost. */
+/** Chooses the allowed engine with the lowest cost. */
 export function placeRequest(
   request: PlacementRequest,
   tables: PlacementTables,
   nowMs: number,
 ): Placement | PlacementFailure {
   const prompt = request.generation && promptView(request, request.generation, tables, nowMs);
-  const considered = narrowEngines(request, prompt, tables);
-  const allowed = considered.filter((engine) => isAllowed(engine, request, tables, nowMs));
+  const sampled = sampleEngines(request, prompt, tables);
+  const allowed = sampled.filter((engine) => isAllowed(engine, request, tables, nowMs));
   if (allowed.length === 0) return RejectionReason.NoEngine;
-  const unpaused = allowed.filter((engine) => !isBackingOff(engine, tables, nowMs));
-  if (unpaused.length === 0) return RejectionReason.EnginesBackingOff;
-  const willing = unpaused.filter((engine) => isWithinLimit(engine, request, tables));
-  if (willing.length === 0) return RejectionReason.EnginesLimited;
-  const usable = usableEngines(willing, tables, nowMs);
-  const open = usable.filter(
+  const notBackingOff = allowed.filter((engine) => !isBackingOff(engine, tables, nowMs));
+  if (notBackingOff.length === 0) return RejectionReason.EnginesBackingOff;
+  const withinLimit = notBackingOff.filter((engine) => isWithinLimit(engine, request, tables));
+  if (withinLimit.length === 0) return RejectionReason.EnginesLimited;
+  const healthy = healthyEngines(withinLimit, tables, nowMs);
+  const available = healthy.filter(
     (engine) => tables.loads.ownRequestsAt(engine.record.id) < request.connectionShare,
   );
-  if (open.length === 0) return RejectionReason.AllBusy;
-  if (!prompt) return cheapest(open.map((engine) => weighPlain(engine, request, tables)));
-  const weighed = open.map((engine) => weighGeneration(engine, prompt, request, tables));
-  return placementOf(cheapest(weighed), prompt, request);
+  if (available.length === 0) return RejectionReason.AllBusy;
+  if (!prompt) return lowestCost(available.map((engine) => scorePlain(engine, request, tables)));
+  const scored = available.map((engine) => scoreGeneration(engine, prompt, request, tables));
+  return placementOf(lowestCost(scored), prompt, request);
 }
 
 function promptView(
@@ -130,73 +131,67 @@
   nowMs: number,
 ): PromptView {
   const { candidates, stores } = request;
-  const subject = affinityKeyOf(generation);
-  const isSound = (engine: Engine): boolean =>
+  const affinityKey = affinityKeyOf(generation);
+  const isEligible = (engine: Engine): boolean =>
     isAllowed(engine, request, tables, nowMs) &&
     !isBackingOff(engine, tables, nowMs) &&
     isWithinLimit(engine, request, tables) &&
     !tables.health.isAvoided(engine.record.id, nowMs);
   const nameOf = (engine: Engine): string => engine.record.name;
-  const homes = tables.homes.firstFit(subject, candidates, nameOf, HOMES_WEIGHED, isSound);
-  const [store] = tables.homes.first(subject, stores, (each) => each.address, 1);
-  const kept = new CachedPromptsBySalt({ ...request, generation }, tables.kept);
+  const homes = tables.homes.firstEligible(affinityKey, candidates, nameOf, HOME_COUNT, isEligible);
+  const [store] = tables.homes.first(affinityKey, stores, (each) => each.address, 1);
+  const cachedPrompts = new CachedPromptsBySalt({ ...request, generation }, tables.kept);
   const { storePressure } = request;
-  return { generation, kept, homes, store, storePressure };
+  return { generation, cachedPrompts, homes, store, storePressure };
 }
 
 /**
- * The engines to weigh. Of a large service: the subject's homes, those that keep something of the
- * prompt, and a random sample, which is as good as all where loads are even.
+ * Limits the engines to score in a large service to the homes of the affinity key, the engines with
+ * cached prefixes of the prompt, and a random sample.
  */
-function narrowEngines(
+function sampleEngines(
   request: PlacementRequest,
   prompt: PromptView | undefined,
   tables: PlacementTables,
 ): readonly Engine[] {
   const { candidates } = request;
-  if (candidates.length <= MAXIMUM_WEIGHED) return candidates;
+  if (candidates.length <= MAXIMUM_SAMPLED_ENGINES) return candidates;
   const chosen = new Set<Engine>(prompt?.homes);
-  while (chosen.size < MAXIMUM_WEIGHED) {
+  while (chosen.size < MAXIMUM_SAMPLED_ENGINES) {
     chosen.add(candidates[randomInteger(tables.random, candidates.length)] as Engine);
   }
   if (!prompt) return [...chosen];
   for (const engine of candidates) {
     const version = versionAt(engine, prompt.generation.model) ?? 0;
-    const { tokensByHolder } = prompt.kept.of(version);
+    const { tokensByHolder } = prompt.cachedPrompts.of(version);
     if (tokensByHolder.has(engine.record.id)) chosen.add(engine);
   }
   return [...chosen];
 }
 
-function cheapest<Weighed extends { readonly costMs: number }>(
-  weighed: readonly Weighed[],
-): Weighed {
-  return weighed.reduce((best, each) => (each.costMs < best.costMs ? each : best));
+function lowestCost<Scored extends { readonly costMs: number }>(scored: readonly Scored[]): Scored {
+  return scored.reduce((best, each) => (each.costMs < best.costMs ? each : best));
 }
 
-/** Engines in good standing; where there are none, the ones left alone for failures. */
-function usableEngines(
-  willing: readonly Engine[],
+/** Engines that are not avoided after failures, or all of them if none is left. */
+function healthyEngines(
+  engines: readonly Engine[],
   { health }: PlacementTables,
   nowMs: number,
 ): readonly Engine[] {
-  const trusted = willing.filter((engine) => !health.isAvoided(engine.record.id, nowMs));
-  return trusted.length > 0 ? trusted : willing;
+  const healthy = engines.filter((engine) => !health.isAvoided(engine.record.id, nowMs));
+  return healthy.length > 0 ? healthy : engines;
 }
 
 /**
- * Unlike an engine that is left alone for failures, one that asked for a pause gets nothing even where no other
- * is left. Left alone for a fixed 150 ms, one got up to 13 requests of a router in the 3 s that it had asked
- * for (simulated deployment of 3 routers and 5 engines).
+ * Whether the engine requested a pause. Unlike avoidance after failures, a pause is never
+ * overridden, even if no other engine is left.
  */
 function isBackingOff({ record }: Engine, { health }: PlacementTables, nowMs: number): boolean {
   return health.backoffs.remainingMs(record.name, nowMs) > 0;
 }
 
-/**
- * A limit that an engine named is no preference either: passed over, engines got 28 to 34 requests in 4 s where 12 are
- * tolerated (simulated deployment of 3 routers and 5 engines that take 1.2 a second).
- */
+/** Whether the engine's rate limit leaves this router a slot. The limit is never overridden. */
 function isWithinLimit(
   { record }: Engine,
   { turns }: PlacementRequest,
@@ -217,22 +212,22 @@
   const { model } = request.generation;
   const version = versionAt(engine, model);
   if (version === undefined) return false;
-  // A request that waits at the engine until older weights are out would begin on them.
-  const beginsMs = nowMs + tables.loads.at(id).unreadTokens / READ_TOKENS_PER_MS;
-  return version >= tables.versions.minimum(model, beginsMs);
+  // A request queued until newer weights are required would start on the older ones.
+  const expectedStartMs = nowMs + tables.loads.at(id).unreadTokens / PREFILL_TOKENS_PER_MS;
+  return version >= tables.versions.minimum(model, expectedStartMs);
 }
 
-function weighPlain(engine: Engine, request: PlacementRequest, tables: PlacementTables): Placement {
+function scorePlain(engine: Engine, request: PlacementRequest, tables: PlacementTables): Placement {
   const { id, slots, zone } = engine.record;
   const { requests } = tables.loads.at(id);
-  const takenShare = requests / Math.max(1, slots);
-  const queueMs = requests >= slots ? (requests - slots + 1) * QUEUED_REQUEST_MS : 0;
-  const zoneMs = zone === request.zone ? 0 : OTHER_ZONE_MS;
+  const utilization = requests / Math.max(1, slots);
+  const queueMs = requests >= slots ? (requests - slots + 1) * QUEUED_REQUEST_COST_MS : 0;
+  const zoneMs = zone === request.zone ? 0 : CROSS_ZONE_COST_MS;
   const costMs =
-    takenShare * ALL_SLOTS_TAKEN_MS +
+    utilization * FULL_UTILIZATION_COST_MS +
     queueMs +
     zoneMs +
-    suspicionMs(engine, tables) +
+    failureCostMs(engine, tables) +
     tables.random.next();
   return {
     engine,
@@ -246,8 +241,8 @@
   };
 }
 
-/** An engine weighed for a generation. */
-interface WeighedEngine {
+/** An engine scored for a generation. */
+interface ScoredEngine {
   readonly engine: Engine;
   readonly version: number;
   readonly ownTokens: number;
@@ -257,73 +252,72 @@
   readonly costMs: number;
 }
 
-function weighGeneration(
+function scoreGeneration(
   engine: Engine,
   prompt: PromptView,
   request: PlacementRequest,
   tables: PlacementTables,
-): WeighedEngine {
-  const { generation, kept } = prompt;
+): ScoredEngine {
+  const { generation, cachedPrompts } = prompt;
   const version = versionAt(engine, generation.model) ?? 0;
-  const keptPrompt = kept.of(version);
-  const ownTokens = keptPrompt.tokensByHolder.get(engine.record.id) ?? 0;
-  const source = bestSource(engine, ownTokens, keptPrompt.sources, request.profile);
+  const cachedPrompt = cachedPrompts.of(version);
+  const ownTokens = cachedPrompt.tokensByHolder.get(engine.record.id) ?? 0;
+  const source = bestSource(engine, ownTokens, cachedPrompt.sources, request.profile);
   const fetchedTokens = source ? source.tokens - ownTokens : 0;
   const unreadTokens = Math.max(0, generation.promptTokens - ownTokens - fetchedTokens);
-  const nobodyKeeps = ownTokens === 0 && fetchedTokens === 0;
+  const isUncached = ownTokens === 0 && fetchedTokens === 0;
   const expectedMs =
-    waitMs(engine, request, tables) + unreadTokens / READ_TOKENS_PER_MS + (source?.fetchMs ?? 0);
+    waitMs(engine, request, tables) + unreadTokens / PREFILL_TOKENS_PER_MS + (source?.fetchMs ?? 0);
   const costMs =
     expectedMs +
-    (fetchedTokens / 1_000) * COPY_MS_PER_KILOTOKEN +
-    (nobodyKeeps ? awayFromHomeMs(engine, prompt) : 0) +
-    (engine.record.zone === request.zone ? 0 : OTHER_ZONE_MS) +
-    suspicionMs(engine, tables);
+    (fetchedTokens / 1_000) * COPY_COST_MS_PER_KILOTOKEN +
+    (isUncached ? homeAffinityCostMs(engine, prompt) : 0) +
+    (engine.record.zone === request.zone ? 0 : CROSS_ZONE_COST_MS) +
+    failureCostMs(engine, tables);
   return { engine, version, ownTokens, source, unreadTokens, expectedMs, costMs };
 }
 
-/** How the generation is sent to the engine that was chosen. */
+/** Parameters of the call to the chosen engine. */
 function placementOf(
-  weighed: WeighedEngine,
+  scored: ScoredEngine,
   prompt: PromptView,
   { profile }: PlacementRequest,
 ): Placement {
-  const { engine, version, ownTokens, source, unreadTokens, expectedMs, costMs } = weighed;
-  const keptPrompt = prompt.kept.of(version);
+  const { engine, version, ownTokens, source, unreadTokens, expectedMs, costMs } = scored;
+  const cachedPrompt = prompt.cachedPrompts.of(version);
   return {
     engine,
     expectedVersion: version,
-    cacheSalt: keptPrompt.salt,
+    cacheSalt: cachedPrompt.salt,
     fetchFrom: sourceAddress(engine, ownTokens, source, prompt, profile),
-    saveTo: storeToSave(keptPrompt, prompt),
+    saveTo: storeToSave(cachedPrompt, prompt),
     unreadTokens,
     expectedMs,
     costMs,
   };
 }
 
-/** Grows with the place in the subject's ranking. */
-function awayFromHomeMs(engine: Engine, { homes, generation }: PromptView): number {
-  const readingMs = sharedTokensOf(generation) / READ_TOKENS_PER_MS;
-  const place = homes.indexOf(engine);
-  const share = place < 0 ? 1 : place / HOMES_WEIGHED;
-  return AWAY_FROM_HOME_READINGS * readingMs * share;
+/** Cost that grows with the engine's rank among the homes of the affinity key. */
+function homeAffinityCostMs(engine: Engine, { homes, generation }: PromptView): number {
+  const prefillMs = sharedTokensOf(generation) / PREFILL_TOKENS_PER_MS;
+  const rank = homes.indexOf(engine);
+  const share = rank < 0 ? 1 : rank / HOME_COUNT;
+  return HOME_AFFINITY_FACTOR * prefillMs * share;
 }
 
-/** Waiting at the engine: prompts to be read first, running requests, memory that is full. */
+/** Estimated wait at the engine: queued prefill, running requests, and a full KV cache. */
 function waitMs(engine: Engine, request: PlacementRequest, tables: PlacementTables): number {
   const load = tables.loads.at(engine.record.id);
   const { profile, generation } = request;
-  const readMs = load.unreadTokens / READ_TOKENS_PER_MS;
-  const runningMs = load.requests * RUNNING_REQUEST_MS;
-  if (!profile || !generation) return readMs + runningMs;
+  const prefillMs = load.unreadTokens / PREFILL_TOKENS_PER_MS;
+  const runningMs = load.requests * RUNNING_REQUEST_COST_MS;
+  if (!profile || !generation) return prefillMs + runningMs;
   const neededTokens = load.heldTokens + generation.promptTokens + generation.maximumOutputTokens;
   const isFull =
-    load.requests >= profile.slots ||
-    neededTokens > profile.cacheCapacityTokens * FULL_MEMORY_SHARE;
-  return readMs + runningMs + (isFull ? FULL_MEMORY_MS : 0);
+    load.requests >= profile.slots || neededTokens > profile.cacheCapacityTokens * FULL_CACHE_SHARE;
+  return prefillMs + runningMs + (isFull ? FULL_CACHE_COST_MS : 0);
 }
 
-function suspicionMs(engine: Engine, tables: PlacementTables): number {
-  return tables.health.failureShare(engine.record.id) * FAILING_MS;
+function failureCostMs(engine: Engine, tables: PlacementTables): number {
+  return tables.health.failureShare(engine.record.id) * FAILURE_COST_MS;
 }
--- a/src/state/routing/prompt-source-choice.ts
+++ b/src/state/routing/prompt-source-choice.ts
@@ -1,4 +1,4 @@
-/** From where an engine takes the parts of a prompt that it lacks, and where they are saved. Pure. */
+/** Chooses the source of an engine's missing prompt parts and the store that saves them. Pure. */
 import type { CacheStore, EngineProfile } from './configuration.js';
 import { type Engine, type EngineRecord, versionAt } from './engine-registry.js';
 import type { GenerationShape } from './generation.js';
@@ -6,55 +6,58 @@
   type BestSource,
   type CachedPromptsBySalt,
   type CachedPrompt,
-  paysToFetch,
+  isFetchFasterThanPrefill,
   sharedTokensOf,
 } from './prompt-sources.js';
 import { type StorePressure, isWorthSaving } from './save-choice.js';
 
-/** What one placement knows of its prompt. */
+/** A placement's view of its prompt. */
 export interface PromptView {
   readonly generation: GenerationShape;
-  readonly kept: CachedPromptsBySalt;
-  /** First engines of the subject's ranking that may be used now. */
+  readonly cachedPrompts: CachedPromptsBySalt;
+  /** Highest-ranked engines for the affinity key that are currently eligible. */
   readonly homes: readonly Engine[];
-  /** The store that all routers agree on for the subject. */
+  /** Store ranked first for the affinity key, the same on all routers. */
   readonly store: CacheStore | undefined;
   readonly storePressure: StorePressure;
 }
 
 /**
- * From where the engine takes what it lacks. Of holders that do not report, a router knows only what it
- * sent there itself a while ago, and memory is evicted within seconds: there the store goes first, and it
- * is named even where the engine is believed to keep all. Where nothing is known it is a guess; a wrong
- * one costs a millisecond, reading again a hundred times that.
+ * Returns the address from which the engine fetches missing prompt parts. Without cache events, a
+ * router knows only the prompts it sent itself, and engines evict within seconds. The store is then
+ * preferred over such a source, and is named even if the engine should have the whole prefix
+ * cached. A fetch that finds nothing is far cheaper than repeated prefill.
  */
 export function sourceAddress(
   engine: Engine,
   ownTokens: number,
-  known: BestSource | undefined,
+  knownSource: BestSource | undefined,
   prompt: PromptView,
   profile: EngineProfile | undefined,
 ): string | undefined {
-  if (known?.isReported) return known.address;
-  const keepsAll = ownTokens >= sharedTokensOf(prompt.generation);
-  if (keepsAll && prompt.kept.isReported(engine.record.id)) return undefined;
-  const lastResort = keepsAll ? undefined : otherHome(engine, prompt);
-  const source = storeToAsk(engine, prompt.store, profile) ?? known ?? lastResort;
+  if (knownSource?.isReported) return knownSource.address;
+  const hasAllCached = ownTokens >= sharedTokensOf(prompt.generation);
+  if (hasAllCached && prompt.cachedPrompts.isReported(engine.record.id)) return undefined;
+  const fallback = hasAllCached ? undefined : otherHomeEngine(engine, prompt);
+  const source = storeToFetchFrom(engine, prompt.store, profile) ?? knownSource ?? fallback;
   return source?.address;
 }
 
-/** The store, where an engine takes tokens from it sooner than it reads them. */
-function storeToAsk(
+/** The store, if fetching from it is faster than prefill. */
+function storeToFetchFrom(
   engine: Engine,
   store: CacheStore | undefined,
   profile: EngineProfile | undefined,
 ): CacheStore | undefined {
   if (!store || !profile) return undefined;
-  return paysToFetch(engine, store, profile) ? store : undefined;
+  return isFetchFasterThanPrefill(engine, store, profile) ? store : undefined;
 }
 
-/** The first other engine of the subject's ranking that has the same weights. */
-function otherHome(engine: Engine, { generation, homes }: PromptView): EngineRecord | undefined {
+/** The highest-ranked other engine that has the same weight version. */
+function otherHomeEngine(
+  engine: Engine,
+  { generation, homes }: PromptView,
+): EngineRecord | undefined {
   const version = versionAt(engine, generation.model);
   const home = homes.find(
     (each) => each !== engine && versionAt(each, generation.model) === version,
@@ -62,12 +65,14 @@
   return home?.record;
 }
 
-/** The store that should get this prompt's shared parts; undefined where it has them. */
-export function storeToSave(kept: CachedPrompt, prompt: PromptView): string | undefined {
+/**
+ * The store that should save the shared parts; undefined if it has them or they are not worth it.
+ */
+export function storeToSave(cachedPrompt: CachedPrompt, prompt: PromptView): string | undefined {
   const sharedTokens = sharedTokensOf(prompt.generation);
   if (sharedTokens === 0 || !prompt.store) return undefined;
   const { address } = prompt.store;
-  const isReported = prompt.kept.isReported(address);
+  const isReported = prompt.cachedPrompts.isReported(address);
   if (!isReported && !isWorthSaving(prompt.generation, prompt.storePressure)) return undefined;
-  return (kept.tokensByHolder.get(address) ?? 0) < sharedTokens ? address : undefined;
+  return (cachedPrompt.tokensByHolder.get(address) ?? 0) < sharedTokens ? address : undefined;
 }
--- a/src/state/routing/prompt-sources.ts
+++ b/src/state/routing/prompt-sources.ts
@@ -1,114 +1,115 @@
-/** Who keeps how much of one prompt, and from where an engine best takes what it lacks. Pure. */
+/** Finds the holders of a prompt's cached prefix and the best source for an engine. Pure. */
 import type { CacheStore, EngineProfile } from './configuration.js';
 import type { Engine } from './engine-registry.js';
 import { type GenerationShape, cacheSaltOf, sharedPartsOf } from './generation.js';
 import type { CachedPrefixes } from './cached-prefixes.js';
 
-/** Prompt tokens an engine reads in a millisecond; engines do not tell it. */
-export const READ_TOKENS_PER_MS = 40;
-/** Moves between zones take this many times as long (the users' page on the cache). */
-const OTHER_ZONE_LINK_FACTOR = 2;
+/** Assumed prefill rate; engines do not report theirs. */
+export const PREFILL_TOKENS_PER_MS = 40;
+/** Transfers between zones take this many times as long. */
+const CROSS_ZONE_TRANSFER_FACTOR = 2;
 const MILLISECONDS_PER_SECOND = 1_000;
 const BITS_PER_BYTE = 8;
 const BITS_PER_MEGABIT = 1e6;
 
-/** What the look-ups for one prompt need. */
-export interface PromptQuestion {
+/** Input for finding the cached prefixes of one prompt. */
+export interface PromptLookup {
   readonly generation: GenerationShape;
-  /** Tenant whose cached prompts are its own; undefined where they are shared. */
+  /** Tenant with isolated cached prompts; undefined if cached prompts are shared. */
   readonly isolatedTenant: string | undefined;
   readonly candidates: readonly Engine[];
   readonly profile: EngineProfile | undefined;
   readonly stores: readonly CacheStore[];
 }
 
-/** Who keeps how much of a prompt under one salt. */
+/** Holders of a prompt's cached prefix under one salt. */
 export interface CachedPrompt {
-  /** Tokens of the prompt's beginning, by holder: an engine's incarnation or a store's address. */
+  /** Length of the cached prefix by holder: an engine's incarnation or a store's address. */
   readonly tokensByHolder: ReadonlyMap<string, number>;
-  readonly sources: readonly KeptSource[];
+  readonly sources: readonly CachedPromptSource[];
 }
 
-/** The same with its salt. */
+/** A cached prompt with its salt. */
 export interface SaltedPrompt extends CachedPrompt {
   readonly salt: string;
 }
 
-/** An engine or store that keeps a beginning of the prompt. */
-interface KeptSource {
+/** An engine or store that has a prefix of the prompt cached. */
+interface CachedPromptSource {
   readonly tokens: number;
   readonly address: string;
   readonly zone: string;
   readonly linkMbps: number;
-  /** Whether it reports what it keeps; otherwise it may have dropped it since. */
+  /** Whether its cache events are received; otherwise it may have evicted the prefix. */
   readonly isReported: boolean;
 }
 
-/** The place from where an engine best takes kept prompts. */
+/** The source from which an engine should fetch a cached prefix. */
 export interface BestSource {
   readonly address: string;
   readonly tokens: number;
   readonly fetchMs: number;
-  /** Whether it reports what it keeps; otherwise it may have dropped it since. */
+  /** Whether its cache events are received; otherwise it may have evicted the prefix. */
   readonly isReported: boolean;
 }
 
-/** What is kept of one prompt, looked up once for each salt that engines have. */
+/** Cached prefixes of one prompt, looked up once per salt. */
 export class CachedPromptsBySalt {
   private readonly byVersion = new Map<number, SaltedPrompt>();
 
   constructor(
-    private readonly question: PromptQuestion,
-    private readonly kept: CachedPrefixes,
+    private readonly lookup: PromptLookup,
+    private readonly cachedPrefixes: CachedPrefixes,
   ) {}
 
   private saltOf(version: number): string {
-    return cacheSaltOf(this.question.generation.model, version, this.question.isolatedTenant);
+    return cacheSaltOf(this.lookup.generation.model, version, this.lookup.isolatedTenant);
   }
 
   isReported(holder: string): boolean {
-    return this.kept.isReported(holder);
+    return this.cachedPrefixes.isReported(holder);
   }
 
-  /** What is kept for engines that hold a version of the prompt's model. */
+  /** Holders of the prompt's prefix for engines with this weight version. */
   of(version: number): SaltedPrompt {
-    let kept = this.byVersion.get(version);
-    if (!kept) {
+    let cachedPrompt = this.byVersion.get(version);
+    if (!cachedPrompt) {
       const salt = this.saltOf(version);
-      kept = { salt, ...this.lookUp(salt) };
-      this.byVersion.set(version, kept);
+      cachedPrompt = { salt, ...this.findCachedPrompt(salt) };
+      this.byVersion.set(version, cachedPrompt);
     }
-    return kept;
+    return cachedPrompt;
   }
 
-  private lookUp(salt: string): CachedPrompt {
-    const { generation, profile, stores, candidates } = this.question;
-    const tokensByHolder = this.kept.leadingTokens(salt, generation.parts);
-    const sources: KeptSource[] = [];
+  private findCachedPrompt(salt: string): CachedPrompt {
+    const { generation, profile, stores, candidates } = this.lookup;
+    const tokensByHolder = this.cachedPrefixes.leadingTokens(salt, generation.parts);
+    const sources: CachedPromptSource[] = [];
     if (tokensByHolder.size === 0 || !profile) return { tokensByHolder, sources };
     for (const { record } of candidates) {
       const tokens = tokensByHolder.get(record.id);
       if (tokens === undefined) continue;
       const { address, zone } = record;
-      const isReported = this.kept.isReported(record.id);
+      const isReported = this.cachedPrefixes.isReported(record.id);
       sources.push({ tokens, address, zone, linkMbps: profile.linkMbps, isReported });
     }
     for (const { address, zone, linkMbps } of stores) {
       const tokens = tokensByHolder.get(address);
       if (tokens === undefined) continue;
       const slowestMbps = Math.min(linkMbps, profile.linkMbps);
-      const isReported = this.kept.isReported(address);
+      const isReported = this.cachedPrefixes.isReported(address);
       sources.push({ tokens, address, zone, linkMbps: slowestMbps, isReported });
     }
-    return { tokensByHolder, sources: withoutEquals(sources) };
+    return { tokensByHolder, sources: withoutEquivalents(sources) };
   }
 }
 
 /**
- * Sources that differ in what matters: of those of equal tokens, zone and link an engine takes the first, or
- * the second where the first has its own address. A prompt that many ask is kept by most engines.
+ * Keeps at most two sources per combination of tokens, zone and link rate. An engine uses the first
+ * of them, or the second if the first is the engine itself. Popular prompts are cached by most
+ * engines, so this keeps the comparison short.
  */
-function withoutEquals(sources: readonly KeptSource[]): KeptSource[] {
+function withoutEquivalents(sources: readonly CachedPromptSource[]): CachedPromptSource[] {
   const addressesByClass = new Map<string, Set<string>>();
   return sources.filter(({ tokens, zone, linkMbps, address }) => {
     const key = `${tokens} ${linkMbps} ${zone}`;
@@ -119,42 +120,46 @@
   });
 }
 
-/** Where more of the prompt is kept than at the engine itself, if taking it pays. */
+/** The source that saves the most time over prefill at the engine, if any does. */
 export function bestSource(
   engine: Engine,
   ownTokens: number,
-  sources: readonly KeptSource[],
+  sources: readonly CachedPromptSource[],
   profile: EngineProfile | undefined,
 ): BestSource | undefined {
   if (!profile) return undefined;
   let best: BestSource | undefined;
-  let bestGainMs = 0;
+  let bestSavedMs = 0;
   for (const { address, tokens, zone, linkMbps, isReported } of sources) {
     if (tokens <= ownTokens || address === engine.record.address) continue;
-    const fetched = tokens - ownTokens;
-    const fetchMs = fetched * moveMsPerToken(engine, zone, linkMbps, profile);
-    const gainMs = fetched / READ_TOKENS_PER_MS - fetchMs;
-    if (gainMs <= bestGainMs) continue;
-    bestGainMs = gainMs;
+    const fetchedTokens = tokens - ownTokens;
+    const fetchMs = fetchedTokens * transferMsPerToken(engine, zone, linkMbps, profile);
+    const savedMs = fetchedTokens / PREFILL_TOKENS_PER_MS - fetchMs;
+    if (savedMs <= bestSavedMs) continue;
+    bestSavedMs = savedMs;
     best = { address, tokens, fetchMs, isReported };
   }
   return best;
 }
 
-/** Whether an engine takes tokens from a store sooner than it reads them. */
-export function paysToFetch(engine: Engine, store: CacheStore, profile: EngineProfile): boolean {
+/** Whether the engine fetches tokens from the store faster than it prefills them. */
+export function isFetchFasterThanPrefill(
+  engine: Engine,
+  store: CacheStore,
+  profile: EngineProfile,
+): boolean {
   const linkMbps = Math.min(store.linkMbps, profile.linkMbps);
-  return moveMsPerToken(engine, store.zone, linkMbps, profile) < 1 / READ_TOKENS_PER_MS;
+  return transferMsPerToken(engine, store.zone, linkMbps, profile) < 1 / PREFILL_TOKENS_PER_MS;
 }
 
-function moveMsPerToken(
+function transferMsPerToken(
   engine: Engine,
   zone: string,
   linkMbps: number,
   profile: EngineProfile,
 ): number {
   const megabits = (profile.cacheTokenBytes * BITS_PER_BYTE) / BITS_PER_MEGABIT;
-  const zoneFactor = zone === engine.record.zone ? 1 : OTHER_ZONE_LINK_FACTOR;
+  const zoneFactor = zone === engine.record.zone ? 1 : CROSS_ZONE_TRANSFER_FACTOR;
   return (megabits / linkMbps) * MILLISECONDS_PER_SECOND * zoneFactor;
 }
 
--- a/src/state/routing/save-choice.ts
+++ b/src/state/routing/save-choice.ts
@@ -1,47 +1,52 @@
 /**
- * Which prompts are saved to a cache store that does not report what it keeps. An engine saves a whole
- * prompt, the request's own part with it, whether or not the store has it. Where prompts come so fast
- * that a store keeps each for a few seconds only, what it keeps is worth as much as its share of parts
- * that others use: then only prompts are saved that are shared for the most part. Pure.
+ * Decides which prompts to save to a cache store that does not report its contents. An engine saves
+ * the whole prompt, including the request's own part, even if the store already has it. If prompts
+ * arrive so fast that the store evicts each within seconds, only prompts that consist mostly of
+ * shared parts are worth saving. Pure.
  */
 import type { CacheStore } from './configuration.js';
 import type { GenerationShape } from './generation.js';
 import { sharedTokensOf } from './prompt-sources.js';
 
 /**
- * A store that would keep a prompt for less than this is sent only some. Subjects of a busy site come
- * again within some 10 s, which is also how long the users' pages price a part that is read again.
+ * Minimum retention of a store that is not under pressure; shared prompts typically recur within
+ * this time.
  */
-const SHORTEST_KEEPING_S = 10;
-/** Share of a prompt that others may use, from which it is saved to such a store. */
-const MOSTLY_SHARED = 0.8;
-/** From which it is saved to one that keeps prompts long enough: less would mostly push out what is shared. */
-const HALF_SHARED = 0.5;
+const MINIMUM_RETENTION_S = 10;
+/** Minimum shared fraction of prompts saved to a store under pressure. */
+const HIGH_PRESSURE_SHARED_FRACTION = 0.8;
+/** Minimum shared fraction otherwise; prompts below it would mostly evict shared parts. */
+const LOW_PRESSURE_SHARED_FRACTION = 0.5;
 
-/** How the stores stand to what is sent to them. */
+/** Whether the stores retain prompts long enough for reuse. */
 export enum StorePressure {
-  /** They keep what they are sent long enough for it to be used again. */
+  /** Prompts are retained long enough to be reused. */
   Low = 'low',
-  /** They would drop it before. */
+  /** Prompts are evicted before they are reused. */
   High = 'high',
 }
 
 /**
- * What is saved again and again is kept once, so a store fills with the parts that no other request shares.
+ * Compares the capacity of the stores with the rate of unshared tokens. Shared parts are stored
+ * once, however often they are saved, so unshared parts determine how fast a store fills.
  *
- * @param ownTokensPerSecond tokens of such parts in the prompts that the whole group sends to engines
+ * @param unsharedTokensPerSecond unshared tokens in the prompts that the whole group sends to
+ * engines
  */
 export function storePressure(
-  ownTokensPerSecond: number,
+  unsharedTokensPerSecond: number,
   stores: readonly CacheStore[],
 ): StorePressure {
   const capacityTokens = stores.reduce((sum, store) => sum + store.capacityTokens, 0);
-  const isShort = ownTokensPerSecond * SHORTEST_KEEPING_S > capacityTokens;
-  return isShort ? StorePressure.High : StorePressure.Low;
+  const isOverloaded = unsharedTokensPerSecond * MINIMUM_RETENTION_S > capacityTokens;
+  return isOverloaded ? StorePressure.High : StorePressure.Low;
 }
 
-/** Whether a prompt that has shared parts is worth its place in a store that does not report. */
+/**
+ * Whether a prompt with shared parts should be saved to a store that does not report its contents.
+ */
 export function isWorthSaving(generation: GenerationShape, pressure: StorePressure): boolean {
-  const leastShare = pressure === StorePressure.Low ? HALF_SHARED : MOSTLY_SHARED;
-  return sharedTokensOf(generation) >= generation.promptTokens * leastShare;
+  const minimumShare =
+    pressure === StorePressure.Low ? LOW_PRESSURE_SHARED_FRACTION : HIGH_PRESSURE_SHARED_FRACTION;
+  return sharedTokensOf(generation) >= generation.promptTokens * minimumShare;
 }
--- a/src/state/routing/superseded-incarnations.ts
+++ b/src/state/routing/superseded-incarnations.ts
@@ -1,43 +1,44 @@
 /**
- * Lives of engines that others have taken the place of in the list. Starts come from clocks that may step
- * back, so which of two lives is the later one can turn out differently: what was known is kept.
+ * Incarnations that were replaced in the registry by another one. Start times come from clocks that
+ * may be set back, so a superseded incarnation can turn out to be the current one; its state is
+ * kept.
  */
 import type { EngineRecord } from './engine-record.js';
 
-/** A life that another one has followed. */
+/** An incarnation that was superseded by another. */
 export interface SupersededIncarnation {
-  /** What was last known of it, newer versions of weights among it. */
+  /** Its last known state, including newer weight versions. */
   readonly record: EngineRecord;
-  /** Whether its own entry had been taken. */
+  /** Whether its store entry had been received. */
   readonly isListed: boolean;
-  /** Whether its entries are refused from then on: only its own answer brings it back. */
-  readonly isForGood: boolean;
+  /** Whether its later entries are ignored, so that only its own response restores it. */
+  readonly isPermanent: boolean;
 }
 
-/** Lives remembered; a list forgets a life that is over within seconds. */
-const MAXIMUM_LIVES = 4_096;
+/** Maximum incarnations remembered; engine lists drop ended ones within seconds. */
+const MAXIMUM_INCARNATIONS = 4_096;
 
-/** Followed lives by incarnation. */
+/** Superseded incarnations by identifier. */
 export class SupersededIncarnations {
-  private readonly lives = new Map<string, SupersededIncarnation>();
+  private readonly incarnations = new Map<string, SupersededIncarnation>();
 
   find(incarnation: string): SupersededIncarnation | undefined {
-    return this.lives.get(incarnation);
+    return this.incarnations.get(incarnation);
   }
 
-  note(life: SupersededIncarnation): void {
-    const { id } = life.record;
-    this.lives.delete(id);
-    this.lives.set(id, life);
-    if (this.lives.size <= MAXIMUM_LIVES) return;
-    const [oldest] = this.lives.keys();
-    if (oldest !== undefined) this.lives.delete(oldest);
+  add(superseded: SupersededIncarnation): void {
+    const { id } = superseded.record;
+    this.incarnations.delete(id);
+    this.incarnations.set(id, superseded);
+    if (this.incarnations.size <= MAXIMUM_INCARNATIONS) return;
+    const [oldest] = this.incarnations.keys();
+    if (oldest !== undefined) this.incarnations.delete(oldest);
   }
 
-  /** The life is in the list again. */
-  take(incarnation: string): SupersededIncarnation | undefined {
-    const life = this.lives.get(incarnation);
-    this.lives.delete(incarnation);
-    return life;
+  /** Removes and returns an incarnation that is registered again. */
+  remove(incarnation: string): SupersededIncarnation | undefined {
+    const superseded = this.incarnations.get(incarnation);
+    this.incarnations.delete(incarnation);
+    return superseded;
   }
 }
--- a/test/gateway/placement-shortcuts.test.ts
+++ b/test/gateway/placement-shortcuts.test.ts
@@ -34,7 +34,7 @@
       const isFit = (holder: string): boolean => draw(holder);
       const idOf = (holder: string): string => holder;
       const expected = homes.first(subject, holders.filter(isFit), idOf, count);
-      t.deepEqual(homes.firstFit(subject, holders, idOf, count, isFit), expected);
+      t.deepEqual(homes.firstEligible(subject, holders, idOf, count, isFit), expected);
     },
   );
   fc.assert(property, { seed: 11, numRuns: 300 });
