--- a/test/gateway/engine-backoffs.test.ts
+++ b/test/gateway/engine-backoffs.test.ts
@@ -1,4 +1,4 @@
-/** For how long an engine that asked for a pause gets no requests, and what becomes of an engine that leaves. */
+/** Guards against requests to engines that requested a pause or announced their shutdown. */
 import test from 'ava';
 import fc from 'fast-check';
 import { EngineBackoffs } from '../../src/state/routing/engine-backoffs.js';
@@ -6,27 +6,27 @@
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
-interface Wish {
+interface BackoffRequest {
   readonly engine: string;
   readonly afterMs: number;
   readonly forMs: number;
 }
 
-const anyWish: fc.Arbitrary<Wish> = fc.record({
+const anyBackoffRequest: fc.Arbitrary<BackoffRequest> = fc.record({
   engine: fc.constantFrom('engine-1', 'engine-2', 'engine-3'),
   afterMs: fc.integer({ min: 0, max: 2_000 }),
   forMs: fc.integer({ min: 0, max: 10_000 }),
 });
 
-/** A router that is alone in its group. */
-const ALONE = { wallMs: 1_000_000, interval: { from: 0, to: 1 } };
+/** A router without peers, which owns every send slot. */
+const SOLE_ROUTER = { wallMs: 1_000_000, interval: { from: 0, to: 1 } };
 
-test('a pause lasts until the latest time that the engine has asked for', (t) => {
-  const property = fc.property(fc.array(anyWish, { maxLength: 40 }), (wishes) => {
+test('a pause lasts until the latest time that the engine has requested', (t) => {
+  const property = fc.property(fc.array(anyBackoffRequest, { maxLength: 40 }), (requests) => {
     const backoffs = new EngineBackoffs();
     const endsMs = new Map<string, number>();
     let nowMs = 0;
-    for (const { engine, afterMs, forMs } of wishes) {
+    for (const { engine, afterMs, forMs } of requests) {
       nowMs += afterMs;
       backoffs.note(engine, nowMs, forMs);
       endsMs.set(engine, Math.max(endsMs.get(engine) ?? 0, nowMs + forMs));
@@ -38,27 +38,28 @@
   fc.assert(property, { seed: 11, numRuns: 300 });
 });
 
-test('the shortest pause of several engines counts, and one without any counts as over', (t) => {
+test('the shortest wait of several engines is returned, and 0 if one has no pause', (t) => {
   const health = new EngineHealth();
   health.backoffs.note('engine-1', 0, 3_000);
   health.backoffs.note('engine-2', 0, 1_000);
-  t.is(health.shortestWaitMs(['engine-1', 'engine-2'], 200, ALONE), 800);
-  t.is(health.shortestWaitMs(['engine-1', 'engine-3'], 200, ALONE), 0);
-  t.is(health.shortestWaitMs([], 200, ALONE), Infinity);
+  t.is(health.shortestWaitMs(['engine-1', 'engine-2'], 200, SOLE_ROUTER), 800);
+  t.is(health.shortestWaitMs(['engine-1', 'engine-3'], 200, SOLE_ROUTER), 0);
+  t.is(health.shortestWaitMs([], 200, SOLE_ROUTER), Infinity);
 });
 
-test('a limited engine is awaited until its pause is over and a turn is due', (t) => {
+test('the wait for a rate-limited engine covers both its pause and the next send slot', (t) => {
   const health = new EngineHealth();
   health.limits.noteNamed('engine-1', 0.5, 0);
-  while (health.limits.maySend('engine-1', ALONE)) health.limits.noteSend('engine-1', ALONE);
-  const turnMs = health.limits.waitMs('engine-1', ALONE);
-  t.true(turnMs > 0 && turnMs <= 2_000);
-  t.is(health.shortestWaitMs(['engine-1'], 0, ALONE), turnMs);
+  while (health.limits.maySend('engine-1', SOLE_ROUTER))
+    health.limits.noteSend('engine-1', SOLE_ROUTER);
+  const slotMs = health.limits.waitMs('engine-1', SOLE_ROUTER);
+  t.true(slotMs > 0 && slotMs <= 2_000);
+  t.is(health.shortestWaitMs(['engine-1'], 0, SOLE_ROUTER), slotMs);
   health.backoffs.note('engine-1', 0, 5_000);
-  t.is(health.shortestWaitMs(['engine-1'], 0, ALONE), 5_000);
+  t.is(health.shortestWaitMs(['engine-1'], 0, SOLE_ROUTER), 5_000);
 });
 
-test('an engine that says it leaves takes no work again, whatever its entry says later', (t) => {
+test('an engine that announced its shutdown gets no more work, even if its entry returns', (t) => {
   const registry = new EngineRegistry();
   const record = engineRecord('engine-1', 1_000);
   registry.put(record);
@@ -68,7 +69,7 @@
   t.deepEqual(registry.readyOf(record.service), []);
 });
 
-test('an engine that says it leaves while its entry is missing does not come back', (t) => {
+test('an incarnation that announces its shutdown without an entry is not registered again', (t) => {
   const registry = new EngineRegistry();
   const record = engineRecord('engine-1', 1_000);
   registry.put(record);
--- a/test/gateway/engine-crashes.test.ts
+++ b/test/gateway/engine-crashes.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are noted as broken by an engine that crashed, and which breaks are no crash. */
+/** Guards against crashes attributed to wrong requests and disconnects counted as crashes. */
 import test from 'ava';
 import {
   type EngineCrash,
@@ -12,11 +12,11 @@
 import { fingerprintOf } from '../../src/state/routing/request-fingerprint.js';
 
 const ENGINE = 'engine-0';
-const RAN_MS = 80;
-const CHECK_MS = 50;
+const RUN_DURATION_MS = 80;
+const CHECK_DURATION_MS = 50;
 
-/** A router that knows one engine, at whose address the listener is in a chosen state. */
-function detectorWorld(state: ListenerState, isDraining = false) {
+/** A crash detector with one registered engine, whose listener is in the given state. */
+function createDetectorHarness(state: ListenerState, isDraining = false) {
   const clock = new VirtualClock();
   const registry = new EngineRegistry();
   const record: EngineRecord = {
@@ -53,11 +53,12 @@
   return { clock, detector, crashes, record, statistics, countChecks: () => checks };
 }
 
-test('all requests that break with an engine that refuses connections are noted, after one check', async (t) => {
-  const { clock, detector, crashes, countChecks } = detectorWorld(ListenerState.Refused);
-  for (const fingerprint of ['a', 'b', 'c']) detector.noteBreak(ENGINE, fingerprint, RAN_MS);
-  await clock.advance(CHECK_MS);
-  detector.noteBreak(ENGINE, 'late', RAN_MS);
+test('all requests that break with an engine are recorded after one refused connection', async (t) => {
+  const { clock, detector, crashes, countChecks } = createDetectorHarness(ListenerState.Refused);
+  for (const fingerprint of ['a', 'b', 'c'])
+    detector.noteBreak(ENGINE, fingerprint, RUN_DURATION_MS);
+  await clock.advance(CHECK_DURATION_MS);
+  detector.noteBreak(ENGINE, 'late', RUN_DURATION_MS);
   t.is(countChecks(), 1);
   t.deepEqual(crashes, [
     { engineId: ENGINE, fingerprints: ['a', 'b', 'c'] },
@@ -66,68 +67,73 @@
 });
 
 for (const state of [ListenerState.Listening, ListenerState.Silent]) {
-  test(`a connection that breaks at an engine whose address is ${state} is no crash`, async (t) => {
-    const { clock, detector, crashes } = detectorWorld(state);
-    detector.noteBreak(ENGINE, 'a', RAN_MS);
-    await clock.advance(CHECK_MS);
+  test(`a disconnect from an engine whose listener is ${state} is not a crash`, async (t) => {
+    const { clock, detector, crashes } = createDetectorHarness(state);
+    detector.noteBreak(ENGINE, 'a', RUN_DURATION_MS);
+    await clock.advance(CHECK_DURATION_MS);
     t.deepEqual(crashes, []);
   });
 }
 
-test('an engine that drains or is not listed may end without having crashed', async (t) => {
-  const { clock, detector, crashes, countChecks } = detectorWorld(ListenerState.Refused, true);
-  detector.noteBreak(ENGINE, 'a', RAN_MS);
-  detector.noteBreak('unlisted', 'a', RAN_MS);
-  await clock.advance(CHECK_MS);
+test('a disconnect from a draining or unlisted engine is not a crash', async (t) => {
+  const { clock, detector, crashes, countChecks } = createDetectorHarness(
+    ListenerState.Refused,
+    true,
+  );
+  detector.noteBreak(ENGINE, 'a', RUN_DURATION_MS);
+  detector.noteBreak('unlisted', 'a', RUN_DURATION_MS);
+  await clock.advance(CHECK_DURATION_MS);
   t.deepEqual([crashes.length, countChecks()], [0, 0]);
 });
 
-test('a request whose connection was gone before it could arrive is not noted', async (t) => {
-  const { clock, detector, crashes } = detectorWorld(ListenerState.Refused);
-  detector.noteBreak(ENGINE, 'first-send', RAN_MS);
-  detector.noteBreak(ENGINE, 'repeated-in-the-same-moment', 0.2);
-  await clock.advance(CHECK_MS);
+test('a request whose connection broke before it could arrive is not recorded', async (t) => {
+  const { clock, detector, crashes } = createDetectorHarness(ListenerState.Refused);
+  detector.noteBreak(ENGINE, 'first-send', RUN_DURATION_MS);
+  detector.noteBreak(ENGINE, 'retried-immediately', 0.2);
+  await clock.advance(CHECK_DURATION_MS);
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['first-send'] }]);
 });
 
-test('an engine that starts again before it is checked has crashed under what broke with it', async (t) => {
-  const { clock, detector, crashes, record } = detectorWorld(ListenerState.Listening);
+test('a restart before the check is a crash of the requests that broke with it', async (t) => {
+  const { clock, detector, crashes, record } = createDetectorHarness(ListenerState.Listening);
   await clock.advance(5_000);
-  detector.noteBreak(ENGINE, 'reset long before', RAN_MS);
+  detector.noteBreak(ENGINE, 'reset long before', RUN_DURATION_MS);
   await clock.advance(1_000);
-  for (const fingerprint of ['a', 'b']) detector.noteBreak(ENGINE, fingerprint, RAN_MS);
-  await clock.advance(CHECK_MS);
+  for (const fingerprint of ['a', 'b']) detector.noteBreak(ENGINE, fingerprint, RUN_DURATION_MS);
+  await clock.advance(CHECK_DURATION_MS);
   t.deepEqual(crashes, []);
-  const bornMs = clock.wallNow();
+  const startedAtMs = clock.wallNow();
   await clock.advance(400);
-  detector.noteReborn(record, bornMs);
+  detector.noteReborn(record, startedAtMs);
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['a', 'b'] }]);
 });
 
-test('a break and the rebirth that follows count as one crash', async (t) => {
-  const { clock, detector, crashes, record, statistics } = detectorWorld(ListenerState.Refused);
+test('a disconnect and the restart that follows count as one crash', async (t) => {
+  const { clock, detector, crashes, record, statistics } = createDetectorHarness(
+    ListenerState.Refused,
+  );
   await clock.advance(1_000);
-  detector.noteBreak(ENGINE, 'a', RAN_MS);
-  await clock.advance(CHECK_MS);
+  detector.noteBreak(ENGINE, 'a', RUN_DURATION_MS);
+  await clock.advance(CHECK_DURATION_MS);
   detector.noteReborn(record, clock.wallNow());
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['a'] }]);
   t.is(statistics.engineCrashes, 1);
 });
 
-test('after a rebirth only what was sent before it breaks with the former life', async (t) => {
-  const { clock, detector, crashes, record } = detectorWorld(ListenerState.Listening);
+test('only requests sent before a restart are attributed to the previous incarnation', async (t) => {
+  const { clock, detector, crashes, record } = createDetectorHarness(ListenerState.Listening);
   await clock.advance(1_000);
-  const bornMs = clock.wallNow();
+  const startedAtMs = clock.wallNow();
   await clock.advance(500);
-  detector.noteReborn(record, bornMs);
-  detector.noteBreak(ENGINE, 'of the new life', 100);
-  detector.noteBreak(ENGINE, 'hung since the crash', 700);
-  await clock.advance(CHECK_MS);
-  t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['hung since the crash'] }]);
+  detector.noteReborn(record, startedAtMs);
+  detector.noteBreak(ENGINE, 'sent to the new incarnation', 100);
+  detector.noteBreak(ENGINE, 'sent before the restart', 700);
+  await clock.advance(CHECK_DURATION_MS);
+  t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['sent before the restart'] }]);
 });
 
-test('an engine that drained may start again without having crashed', async (t) => {
-  const { clock, detector, crashes, record, statistics } = detectorWorld(
+test('the restart of a drained engine is not a crash', async (t) => {
+  const { clock, detector, crashes, record, statistics } = createDetectorHarness(
     ListenerState.Listening,
     true,
   );
@@ -136,7 +142,7 @@
   t.deepEqual([crashes.length, statistics.engineCrashes], [0, 0]);
 });
 
-test('requests are the same by caller, host, method, path and body, and by nothing else', (t) => {
+test('requests are identified by caller, host, method, path and body only', (t) => {
   const identity = {
     tenant: 'tenant-1',
     host: 'host.example',
@@ -145,8 +151,8 @@
     body: Buffer.from('prompt'),
   };
   const fingerprint = fingerprintOf(identity);
-  const again = { ...identity, id: 'another attempt', target: '/stream/x?page=2' };
-  t.is(fingerprintOf(again), fingerprint);
+  const sameRequest = { ...identity, id: 'another attempt', target: '/stream/x?page=2' };
+  t.is(fingerprintOf(sameRequest), fingerprint);
   const others = [
     { ...identity, tenant: 'tenant-2' },
     { ...identity, tenant: undefined },
--- a/test/gateway/engine-health.test.ts
+++ b/test/gateway/engine-health.test.ts
@@ -1,4 +1,4 @@
-/** How long engines that refuse without asking for a pause are left alone. */
+/** Guards against frequent requests to engines that reject everything without a pause. */
 import test from 'ava';
 import { findBreaches } from '../../src/lab/gateway-simulation/gateway-oracle.js';
 import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
@@ -7,32 +7,32 @@
 
 const ENGINE = 'engine-1';
 
-/** Moments at which an engine that refuses every trial is tried, when there is always a request for it. */
-function trialsMs(health: EngineHealth, untilMs: number): number[] {
-  const trials: number[] = [];
+/** Times of the attempts at an engine that rejects each one, if a request is always waiting. */
+function attemptTimesMs(health: EngineHealth, untilMs: number): number[] {
+  const attemptTimes: number[] = [];
   for (let nowMs = 0; nowMs < untilMs; nowMs += 10) {
     if (health.isAvoided(ENGINE, nowMs)) continue;
-    trials.push(nowMs);
+    attemptTimes.push(nowMs);
     health.noteBusy(ENGINE, nowMs);
   }
-  return trials;
+  return attemptTimes;
 }
 
-test('an engine that refuses every request is tried ever more seldom, up to a limit', (t) => {
+test('the backoff of an engine that rejects every request grows up to a maximum', (t) => {
   t.deepEqual(
-    trialsMs(new EngineHealth(), 10_000),
+    attemptTimesMs(new EngineHealth(), 10_000),
     [0, 150, 450, 1_050, 2_250, 4_650, 7_050, 9_450],
   );
 });
 
-test('refusals of requests that were on their way count once', (t) => {
+test('rejections of concurrent requests extend the backoff once', (t) => {
   const health = new EngineHealth();
   for (let atMs = 0; atMs < 100; atMs += 10) health.noteBusy(ENGINE, atMs);
   t.true(health.isAvoided(ENGINE, 149));
   t.false(health.isAvoided(ENGINE, 150));
 });
 
-test('only a request that was sent after the refusal shows that the engine takes work again', (t) => {
+test('only the success of a request sent after the rejection resets the backoff', (t) => {
   const health = new EngineHealth();
   health.noteBusy(ENGINE, 1_000);
   health.noteSuccess(ENGINE, 900);
@@ -46,27 +46,27 @@
 });
 
 const STEP_MS = 10;
-const REFUSING_MS = 8_000;
-const REFUSING_ENGINES = [0, 3];
-/** Trials of one router at one engine in that time, and one request that was on its way at each of the first. */
-const MOST_TRIALS = 10;
+const REJECTING_MS = 8_000;
+const REJECTING_ENGINES = [0, 3];
+/** Attempts of one router at one engine in that time, including concurrent ones. */
+const MAXIMUM_ATTEMPTS = 10;
 
-test('engines that refuse everything for a while cost callers few refusals', async (t) => {
+test('engines that temporarily reject everything cause few rejections', async (t) => {
   for (const seed of [1, 2, 3]) {
-    const world = await GatewaySimulation.create(seed);
-    const refusing = REFUSING_ENGINES.map((index) => world.engine(index));
-    for (const engine of refusing) engine.mode = EngineMode.Busy;
-    for (let spentMs = 0; spentMs < REFUSING_MS; spentMs += STEP_MS) {
-      const turn = spentMs / STEP_MS;
-      world.request(turn, turn % 2 === 0 ? 'plain-unsafe' : 'stream-once', 'tenant-2', 0);
-      await world.clock.advance(STEP_MS);
+    const simulation = await GatewaySimulation.create(seed);
+    const rejecting = REJECTING_ENGINES.map((index) => simulation.engine(index));
+    for (const engine of rejecting) engine.mode = EngineMode.Busy;
+    for (let elapsedMs = 0; elapsedMs < REJECTING_MS; elapsedMs += STEP_MS) {
+      const step = elapsedMs / STEP_MS;
+      simulation.request(step, step % 2 === 0 ? 'plain-unsafe' : 'stream-once', 'tenant-2', 0);
+      await simulation.clock.advance(STEP_MS);
     }
-    for (const engine of refusing) engine.mode = EngineMode.Sound;
-    await world.settle();
-    const ids = new Set(refusing.map(({ id }) => id));
-    const refused = world.observations.arrivals.filter(({ engineId }) => ids.has(engineId));
-    t.log(refused.length);
-    t.true(refused.length <= MOST_TRIALS * world.routerCount * refusing.length);
-    t.deepEqual(findBreaches(world), []);
+    for (const engine of rejecting) engine.mode = EngineMode.Sound;
+    await simulation.settle();
+    const ids = new Set(rejecting.map(({ id }) => id));
+    const rejected = simulation.observations.arrivals.filter(({ engineId }) => ids.has(engineId));
+    t.log(rejected.length);
+    t.true(rejected.length <= MAXIMUM_ATTEMPTS * simulation.routerCount * rejecting.length);
+    t.deepEqual(findBreaches(simulation), []);
   }
 });
--- a/test/gateway/engine-limits-table.test.ts
+++ b/test/gateway/engine-limits-table.test.ts
@@ -1,8 +1,8 @@
-/** What a router believes of the limits that engines name. */
+/** Guards against stale or reordered rate limits, from responses and from announcements. */
 import test from 'ava';
 import { EngineLimits } from '../../src/state/routing/engine-limits.js';
 
-test('an engine has the limit that it named last', (t) => {
+test('the limit stated last applies', (t) => {
   const limits = new EngineLimits();
   t.is(limits.perSecond('engine-1'), undefined);
   t.true(limits.noteNamed('engine-1', 1.6, 100));
@@ -12,7 +12,7 @@
   t.is(limits.perSecond('engine-2'), undefined);
 });
 
-test('an answer without a limit lifts it only where its request was sent after the last one that named it', (t) => {
+test('a limit is lifted only by a response to a request sent after the last one with a limit', (t) => {
   const limits = new EngineLimits();
   t.false(limits.noteUnnamed('engine-1', 50, 60));
   limits.noteNamed('engine-1', 1.6, 100);
@@ -23,7 +23,7 @@
   t.false(limits.noteUnnamed('engine-1', 120, 125));
 });
 
-test('routers tell each other what is new, for a while', (t) => {
+test('changes of limits are announced for a limited time', (t) => {
   const limits = new EngineLimits();
   limits.noteNamed('engine-1', 1.6, 1_000);
   limits.noteNamed('engine-1', 1.6, 1_200);
@@ -35,7 +35,7 @@
   ]);
 });
 
-test('what another router tells counts where it is newer, a lift only where that is certain', (t) => {
+test('an announcement applies if it is newer, and a lifted limit only if that is certain', (t) => {
   const limits = new EngineLimits();
   const named = { engineName: 'engine-1', perSecond: 1.6, ageMs: 0 };
   const lifted = { engineName: 'engine-1', perSecond: undefined, ageMs: 0 };
@@ -49,7 +49,7 @@
   t.true(limits.receive(named, 1_301));
 });
 
-test('a limit outlasts the time between two turns of a router in a large group, and not for ever', (t) => {
+test('a limit outlasts the time between two slots in a large group, then expires', (t) => {
   const limits = new EngineLimits();
   limits.noteNamed('engine-1', 1.2, 1_000);
   limits.notices(301_000);
--- a/test/gateway/peer-cooldowns.test.ts
+++ b/test/gateway/peer-cooldowns.test.ts
@@ -1,21 +1,21 @@
-/** A router that did not answer is passed over for a while, or until it answers. */
+/** Guards against peers that stay in cooldown for too long or not long enough. */
 import test from 'ava';
 import { PeerCooldowns } from '../../src/state/routing/peer-cooldowns.js';
 
-test('a router is passed over until the time is up, counted from its last silence', (t) => {
-  const passedOver = new PeerCooldowns(100);
-  t.false(passedOver.has('router-0', 0));
-  passedOver.add('router-0', 0);
-  t.true(passedOver.has('router-0', 99));
-  t.false(passedOver.has('router-1', 99));
-  passedOver.add('router-0', 50);
-  t.true(passedOver.has('router-0', 149));
-  t.false(passedOver.has('router-0', 150));
+test('a cooldown ends its duration after the last failure', (t) => {
+  const cooldowns = new PeerCooldowns(100);
+  t.false(cooldowns.has('router-0', 0));
+  cooldowns.add('router-0', 0);
+  t.true(cooldowns.has('router-0', 99));
+  t.false(cooldowns.has('router-1', 99));
+  cooldowns.add('router-0', 50);
+  t.true(cooldowns.has('router-0', 149));
+  t.false(cooldowns.has('router-0', 150));
 });
 
-test('a router that answers is not passed over any more', (t) => {
-  const passedOver = new PeerCooldowns(100);
-  passedOver.add('router-0', 0);
-  passedOver.remove('router-0');
-  t.false(passedOver.has('router-0', 1));
+test('a response ends the cooldown', (t) => {
+  const cooldowns = new PeerCooldowns(100);
+  cooldowns.add('router-0', 0);
+  cooldowns.remove('router-0');
+  t.false(cooldowns.has('router-0', 1));
 });
--- a/test/gateway/placement-shortcuts.test.ts
+++ b/test/gateway/placement-shortcuts.test.ts
@@ -1,4 +1,4 @@
-/** What a placement leaves out of its look-ups does not change what it finds. */
+/** Guards against shortcuts in the placement's lookups that change their result. */
 import test from 'ava';
 import fc from 'fast-check';
 import { createHasher } from '../../src/runtime/hasher.js';
@@ -23,18 +23,18 @@
   maximumEventCalls: 8,
 };
 
-test('the first fit holders are those of a ranking of the fit ones', async (t) => {
+test('the first eligible holders equal a ranking of the eligible ones', async (t) => {
   const homes = new HomeRanking(await createHasher());
   const property = fc.property(
     fc.uniqueArray(fc.string(), { maxLength: 40 }),
     fc.string(),
     fc.nat({ max: 5 }),
     fc.func(fc.boolean()),
-    (holders, subject, count, draw) => {
+    (holders, affinityKey, count, draw) => {
       const isFit = (holder: string): boolean => draw(holder);
       const idOf = (holder: string): string => holder;
-      const expected = homes.first(subject, holders.filter(isFit), idOf, count);
-      t.deepEqual(homes.firstEligible(subject, holders, idOf, count, isFit), expected);
+      const expected = homes.first(affinityKey, holders.filter(isFit), idOf, count);
+      t.deepEqual(homes.firstEligible(affinityKey, holders, idOf, count, isFit), expected);
     },
   );
   fc.assert(property, { seed: 11, numRuns: 300 });
@@ -42,41 +42,41 @@
 
 const anyHolder = fc.record({
   zone: fc.nat({ max: 2 }),
-  keptParts: fc.nat({ max: 2 }),
+  cachedParts: fc.nat({ max: 2 }),
   isReported: fc.boolean(),
 });
 
-test('an engine takes a prompt from where it would if it looked at all that keep it', (t) => {
+test('the best source among the filtered ones is the best of all', (t) => {
   const property = fc.property(fc.array(anyHolder, { maxLength: 20 }), (holders) => {
     const registry = new EngineRegistry();
-    const kept = new CachedPrefixes();
+    const cachedPrefixes = new CachedPrefixes();
     const salt = cacheSaltOf(MODEL, 1, undefined);
-    holders.forEach(({ zone, keptParts }, index) => {
+    holders.forEach(({ zone, cachedParts }, index) => {
       const id = `engine-${index}`;
       registry.put(engineRecord(id, undefined, { service: SERVICE, zone: `zone-${zone}` }));
-      kept.notePrompt(id, salt, PARTS.slice(0, keptParts));
+      cachedPrefixes.notePrompt(id, salt, PARTS.slice(0, cachedParts));
     });
-    const reported = holders.flatMap(({ isReported }, index) =>
+    const reporting = holders.flatMap(({ isReported }, index) =>
       isReported ? [`engine-${index}`] : [],
     );
-    kept.setReported(new Set(reported));
+    cachedPrefixes.setReported(new Set(reporting));
     const candidates = registry.ofService(SERVICE);
     const generation = { model: MODEL, parts: PARTS, promptTokens: 900, maximumOutputTokens: 9 };
     const bySalt = new CachedPromptsBySalt(
       { generation, isolatedTenant: undefined, candidates, profile: PROFILE, stores: [] },
-      kept,
+      cachedPrefixes,
     );
     const { tokensByHolder, sources } = bySalt.of(1);
-    const all = candidates.flatMap(({ record: { id, address, zone } }) => {
+    const allSources = candidates.flatMap(({ record: { id, address, zone } }) => {
       const tokens = tokensByHolder.get(id);
       if (tokens === undefined) return [];
       const { linkMbps } = PROFILE;
-      return [{ tokens, address, zone, linkMbps, isReported: kept.isReported(id) }];
+      return [{ tokens, address, zone, linkMbps, isReported: cachedPrefixes.isReported(id) }];
     });
     for (const engine of candidates) {
-      const own = tokensByHolder.get(engine.record.id) ?? 0;
-      const expected = bestSource(engine, own, all, PROFILE);
-      t.deepEqual(bestSource(engine, own, sources, PROFILE), expected);
+      const ownTokens = tokensByHolder.get(engine.record.id) ?? 0;
+      const expected = bestSource(engine, ownTokens, allSources, PROFILE);
+      t.deepEqual(bestSource(engine, ownTokens, sources, PROFILE), expected);
     }
   });
   fc.assert(property, { seed: 12, numRuns: 200 });
--- a/test/gateway/placement.test.ts
+++ b/test/gateway/placement.test.ts
@@ -1,4 +1,4 @@
-/** Placement in large services: routers agree on a subject's home and guess where it is kept. */
+/** Guards against routers that disagree on a home engine or choose a wrong cache source. */
 import { fc } from '@fast-check/ava';
 import test from 'ava';
 import { createHasher } from '../../src/runtime/hasher.js';
@@ -44,7 +44,7 @@
   };
 }
 
-function requestAbout(subject: string, registry: EngineRegistry, zone: string): PlacementRequest {
+function requestFor(affinityKey: string, registry: EngineRegistry, zone: string): PlacementRequest {
   return {
     candidates: registry.ofService('generation'),
     profile: {
@@ -58,8 +58,8 @@
       model: MODEL,
       parts: [
         { id: 'common', tokens: 2_500 },
-        { id: subject, tokens: 3_800 },
-        { id: `${subject}-own`, tokens: 2_900 },
+        { id: affinityKey, tokens: 3_800 },
+        { id: `${affinityKey}-own`, tokens: 2_900 },
       ],
       promptTokens: 9_200,
       maximumOutputTokens: 10,
@@ -88,7 +88,7 @@
   return placed;
 }
 
-test('the first of a ranking are those a full sort puts first', (t) => {
+test('the first entries of a ranking equal those of a full sort', (t) => {
   const homes = new HomeRanking(hasher);
   const ids = fc.uniqueArray(fc.stringMatching(/^[a-z0-9]{1,6}$/), { minLength: 1, maxLength: 60 });
   const property = fc.property(
@@ -106,67 +106,67 @@
   fc.assert(property, { seed: 1, numRuns: 300 });
 });
 
-test('a holder that leaves moves only its own subjects', (t) => {
+test('the removal of a holder moves only the affinity keys it was home to', (t) => {
   const homes = new HomeRanking(hasher);
   const all = Array.from({ length: 90 }, (_, index) => `engine-${index}`);
   const fewer = all.slice(1);
-  for (let turn = 0; turn < 300; turn += 1) {
-    const [before] = homes.first(`subject-${turn}`, all, (id) => id, 1);
-    const [after] = homes.first(`subject-${turn}`, fewer, (id) => id, 1);
+  for (let index = 0; index < 300; index += 1) {
+    const [before] = homes.first(`subject-${index}`, all, (id) => id, 1);
+    const [after] = homes.first(`subject-${index}`, fewer, (id) => id, 1);
     if (before !== 'engine-0') t.is(after, before);
   }
 });
 
-test('routers of all zones choose the same engine for a subject that nobody is known to keep', (t) => {
+test('routers of all zones choose the same engine for an uncached affinity key', (t) => {
   const registry = registryOf(200);
-  for (let subject = 0; subject < 40; subject += 1) {
+  for (let index = 0; index < 40; index += 1) {
     const chosen = [1, 2, 3].map((seed) => {
-      const request = requestAbout(`subject-${subject}`, registry, `zone-${seed % 3}`);
+      const request = requestFor(`subject-${index}`, registry, `zone-${seed % 3}`);
       return place(request, tablesOf(seed)).engine.record.id;
     });
-    t.is(new Set(chosen).size, 1, `subject ${subject}: ${chosen.join(', ')}`);
+    t.is(new Set(chosen).size, 1, `affinity key ${index}: ${chosen.join(', ')}`);
   }
 });
 
-/** The same request where the store's link is so slow that reading is faster. */
+/** The same request with a store link so slow that prefill is faster. */
 function withSlowStore(request: PlacementRequest): PlacementRequest {
   return { ...request, stores: request.stores.map((store) => ({ ...store, linkMbps: 1_000 })) };
 }
 
-/** Makes an engine so busy that others are chosen. */
-function makeBusy(engineId: string, tables: PlacementTables): void {
+/** Adds so much load to an engine that others are chosen. */
+function overload(engineId: string, tables: PlacementTables): void {
   tables.loads.change(engineId, { requests: 1, unreadTokens: 40_000, heldTokens: 40_000 });
 }
 
-test('an engine that stands in for a busy home takes the shared parts from the store', (t) => {
+test('an engine chosen instead of a busy home fetches the shared parts from the store', (t) => {
   const registry = registryOf(90);
   const tables = tablesOf(4);
-  const request = requestAbout('subject', registry, 'zone-0');
+  const request = requestFor('subject', registry, 'zone-0');
   const home = place(request, tables);
   t.is(home.fetchFrom, STORE);
-  makeBusy(home.engine.record.id, tables);
+  overload(home.engine.record.id, tables);
   const other = place(request, tables);
   t.not(other.engine.record.id, home.engine.record.id);
   t.is(other.fetchFrom, STORE);
 });
 
-test('what a busy home leaves over meets at the next engines of the ranking', (t) => {
+test('the overflow of a busy home goes to the next engine of the ranking', (t) => {
   const registry = registryOf(90);
   const chosen = new Set<string>();
   for (let seed = 1; seed <= 20; seed += 1) {
     const tables = tablesOf(seed);
-    const request = requestAbout('subject', registry, `zone-${seed % 3}`);
-    makeBusy(place(request, tables).engine.record.id, tables);
+    const request = requestFor('subject', registry, `zone-${seed % 3}`);
+    overload(place(request, tables).engine.record.id, tables);
     chosen.add(place(request, tables).engine.record.id);
   }
   t.is(chosen.size, 1);
 });
 
-test('a short prompt goes where least waits, a long one waits a while for its home', (t) => {
+test('a short prompt goes to the least loaded engine, a long one waits for its home', (t) => {
   const registry = registryOf(90);
-  const chosenBeside = (sharedTokens: number): boolean => {
+  const staysAtHome = (sharedTokens: number): boolean => {
     const tables = tablesOf(4);
-    const base = requestAbout('subject', registry, 'zone-0');
+    const base = requestFor('subject', registry, 'zone-0');
     const parts = [
       { id: 'common', tokens: sharedTokens / 2 },
       { id: 'subject', tokens: sharedTokens / 2 },
@@ -176,16 +176,16 @@
     const generation = { model: MODEL, parts, promptTokens, maximumOutputTokens: 10 };
     const request = { ...base, generation };
     const home = place(request, tables).engine.record.id;
-    // 100 ms of reading wait at the home.
+    // 100 ms of prefill are queued at the home.
     tables.loads.change(home, { requests: 1, unreadTokens: 4_000, heldTokens: 4_000 });
     return place(request, tables).engine.record.id === home;
   };
-  t.true(chosenBeside(6_300));
-  t.false(chosenBeside(200));
+  t.true(staysAtHome(6_300));
+  t.false(staysAtHome(200));
 });
 
-/** A request about `subject` whose own part is of the given length. */
-function withOwnPart(request: PlacementRequest, ownTokens: number): PlacementRequest {
+/** The same request with an unshared part of the given length. */
+function withOwnTokens(request: PlacementRequest, ownTokens: number): PlacementRequest {
   const { generation } = request;
   if (!generation) return request;
   const parts = [...generation.parts.slice(0, -1), { id: 'own', tokens: ownTokens }];
@@ -193,42 +193,42 @@
   return { ...request, generation: { ...generation, parts, promptTokens } };
 }
 
-test('a store under pressure is sent only prompts that are mostly shared', (t) => {
-  const base = requestAbout('subject', registryOf(20), 'zone-0');
-  const savedTo = (ownTokens: number, pressure: StorePressure, isReported = false) => {
+test('only prompts that are mostly shared are saved to a store under pressure', (t) => {
+  const base = requestFor('subject', registryOf(20), 'zone-0');
+  const saveTarget = (ownTokens: number, pressure: StorePressure, isReported = false) => {
     const tables = tablesOf(7);
     if (isReported) tables.kept.setReported(new Set([STORE]));
-    const request = { ...withOwnPart(base, ownTokens), storePressure: pressure };
+    const request = { ...withOwnTokens(base, ownTokens), storePressure: pressure };
     return place(request, tables).saveTo;
   };
-  t.is(savedTo(3_000, StorePressure.Low), STORE);
-  t.is(savedTo(3_000, StorePressure.High), undefined);
-  t.is(savedTo(1_000, StorePressure.High), STORE);
-  t.is(savedTo(3_000, StorePressure.High, true), STORE);
+  t.is(saveTarget(3_000, StorePressure.Low), STORE);
+  t.is(saveTarget(3_000, StorePressure.High), undefined);
+  t.is(saveTarget(1_000, StorePressure.High), STORE);
+  t.is(saveTarget(3_000, StorePressure.High, true), STORE);
 });
 
-test('stores are under pressure where they would keep a prompt for less than ten seconds', (t) => {
-  const { stores } = requestAbout('subject', registryOf(1), 'zone-0');
+test('stores are under pressure if they would retain a prompt for less than ten seconds', (t) => {
+  const { stores } = requestFor('subject', registryOf(1), 'zone-0');
   t.is(storePressure(90_000, stores), StorePressure.Low);
   t.is(storePressure(110_000, stores), StorePressure.High);
   t.is(storePressure(0, []), StorePressure.Low);
 });
 
-test('where the store is slower than reading, a stand-in takes the shared parts from the home', (t) => {
+test('if the store is slower than prefill, the shared parts are fetched from the home', (t) => {
   const registry = registryOf(90);
   const tables = tablesOf(4);
-  const request = withSlowStore(requestAbout('subject', registry, 'zone-0'));
+  const request = withSlowStore(requestFor('subject', registry, 'zone-0'));
   const home = place(request, tables);
-  makeBusy(home.engine.record.id, tables);
+  overload(home.engine.record.id, tables);
   const other = place(request, tables);
   t.not(other.engine.record.id, home.engine.record.id);
   t.is(other.fetchFrom, home.engine.record.address);
 });
 
-test('no source is named where the engine reports that it keeps all that is shared', (t) => {
+test('no source is named if the engine reports that it has all shared parts cached', (t) => {
   const registry = registryOf(90);
   const tables = tablesOf(5);
-  const request = requestAbout('subject', registry, 'zone-0');
+  const request = requestFor('subject', registry, 'zone-0');
   const home = place(request, tables).engine.record.id;
   tables.kept.notePrompt(home, `${MODEL}@1`, request.generation?.parts.slice(0, 2) ?? []);
   tables.kept.setReported(new Set([home]));
@@ -237,10 +237,10 @@
   t.is(placed.fetchFrom, undefined);
 });
 
-test('the store is named where nothing tells what the engine still keeps', (t) => {
+test('the store is named if the engine does not report its cache contents', (t) => {
   const registry = registryOf(90);
   const tables = tablesOf(5);
-  const request = requestAbout('subject', registry, 'zone-0');
+  const request = requestFor('subject', registry, 'zone-0');
   const home = place(request, tables).engine.record.id;
   tables.kept.notePrompt(home, `${MODEL}@1`, request.generation?.parts.slice(0, 2) ?? []);
   const placed = place(request, tables);
@@ -248,29 +248,29 @@
   t.is(placed.fetchFrom, STORE);
 });
 
-test('a holder that reports goes before the store, one that does not goes after it', (t) => {
+test('a holder that reports its cache is preferred over the store, another one is not', (t) => {
   const registry = registryOf(90);
-  const request = requestAbout('subject', registry, 'zone-0');
-  const sourceOf = (isReported: boolean): string | undefined => {
+  const request = requestFor('subject', registry, 'zone-0');
+  const fetchSource = (isReported: boolean): string | undefined => {
     const tables = tablesOf(5);
     const home = place(request, tables).engine.record;
     tables.kept.notePrompt(home.id, `${MODEL}@1`, request.generation?.parts.slice(0, 2) ?? []);
     tables.kept.setReported(new Set(isReported ? [home.id] : []));
-    makeBusy(home.id, tables);
+    overload(home.id, tables);
     const placed = place(request, tables);
     t.not(placed.engine.record.id, home.id);
     return placed.fetchFrom === home.address ? 'home' : placed.fetchFrom;
   };
-  t.is(sourceOf(true), 'home');
-  t.is(sourceOf(false), STORE);
+  t.is(fetchSource(true), 'home');
+  t.is(fetchSource(false), STORE);
 });
 
-test('an engine of another version is no source', (t) => {
+test('an engine with another weight version is not used as a source', (t) => {
   const registry = registryOf(90);
   const tables = tablesOf(6);
-  const request = withSlowStore(requestAbout('subject', registry, 'zone-0'));
+  const request = withSlowStore(requestFor('subject', registry, 'zone-0'));
   const home = place(request, tables).engine;
   home.observedVersions.set(MODEL, 2);
-  makeBusy(home.record.id, tables);
+  overload(home.record.id, tables);
   t.not(place(request, tables).fetchFrom, home.record.address);
 });
--- a/test/gateway/routing-state.test.ts
+++ b/test/gateway/routing-state.test.ts
@@ -1,4 +1,4 @@
-/** Pure parts of the routing state, by properties. */
+/** Property tests of the pure parts of the routing state. */
 import test from 'ava';
 import fc from 'fast-check';
 import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
@@ -9,21 +9,21 @@
 
 const SEED = { seed: 77, numRuns: 300 };
 
-test('kept prefixes answer as a plain table would', (t) => {
+test('cached prefixes equal those of a plain table', (t) => {
   const holder = fc.constantFrom('a', 'b', 'c');
   const salt = fc.constantFrom('s1', 's2');
   const part = fc.constantFrom('p', 'q', 'r');
-  const note = fc.tuple(holder, salt, part, fc.constantFrom(0, 5, 10));
-  const property = fc.property(fc.array(note, { maxLength: 40 }), (notes) => {
-    const kept = new CachedPrefixes();
+  const entry = fc.tuple(holder, salt, part, fc.constantFrom(0, 5, 10));
+  const property = fc.property(fc.array(entry, { maxLength: 40 }), (entries) => {
+    const cachedPrefixes = new CachedPrefixes();
     const table = new Map<string, number>();
-    for (const [name, salted, id, tokens] of notes) {
-      kept.note(name, salted, id, tokens);
+    for (const [name, salted, id, tokens] of entries) {
+      cachedPrefixes.note(name, salted, id, tokens);
       table.set(`${name}/${salted}/${id}`, tokens);
     }
     const parts = ['p', 'q', 'r'].map((id) => ({ id, tokens: 10 }));
     for (const salted of ['s1', 's2']) {
-      const leading = kept.leadingTokens(salted, parts);
+      const leading = cachedPrefixes.leadingTokens(salted, parts);
       for (const name of ['a', 'b', 'c']) {
         let expected = 0;
         for (const { id } of parts) {
@@ -34,14 +34,14 @@
         t.is(leading.get(name) ?? 0, expected);
       }
     }
-    kept.forget('a');
-    t.is(kept.leadingTokens('s1', parts).get('a') ?? 0, 0);
-    t.is(kept.sizeOf('a'), 0);
+    cachedPrefixes.forget('a');
+    t.is(cachedPrefixes.leadingTokens('s1', parts).get('a') ?? 0, 0);
+    t.is(cachedPrefixes.sizeOf('a'), 0);
   });
   fc.assert(property, SEED);
 });
 
-test('no holder is followed by more routers than it serves, no router follows too many', (t) => {
+test('no holder has more followers than it allows, and no router follows too many feeds', (t) => {
   const property = fc.property(
     fc.integer({ min: 1, max: 120 }),
     fc.integer({ min: 1, max: 120 }),
@@ -65,7 +65,7 @@
   fc.assert(property, SEED);
 });
 
-test('where a router could follow only a few of many holders it follows none', (t) => {
+test('a router follows no feeds if it could follow only a small share of them', (t) => {
   const feeds = Array.from({ length: 66 }, (_, index) => ({
     holder: `engine-${index}`,
     address: 'a:1',
@@ -75,17 +75,18 @@
   t.is(ownShareOfFeeds(feeds, 5, 12).length, 48);
 });
 
-test('what a holder without a feed keeps is forgotten after a while, unless noted again', (t) => {
-  const kept = new CachedPrefixes();
+test('cached prefixes of a holder without a feed expire unless recorded again', (t) => {
+  const cachedPrefixes = new CachedPrefixes();
   const tokensAt = (holder: string): number =>
-    kept.leadingTokens('salt', [{ id: 'part', tokens: 5 }]).get(holder) ?? 0;
-  for (const holder of ['reported', 'silent', 'used']) kept.note(holder, 'salt', 'part', 5);
-  kept.setReported(new Set(['reported']));
-  kept.expire();
-  t.is(tokensAt('silent'), 5);
-  kept.note('used', 'salt', 'part', 5);
-  kept.expire();
-  t.deepEqual(['reported', 'silent', 'used'].map(tokensAt), [5, 0, 5]);
+    cachedPrefixes.leadingTokens('salt', [{ id: 'part', tokens: 5 }]).get(holder) ?? 0;
+  for (const holder of ['reported', 'unreported', 'used'])
+    cachedPrefixes.note(holder, 'salt', 'part', 5);
+  cachedPrefixes.setReported(new Set(['reported']));
+  cachedPrefixes.expire();
+  t.is(tokensAt('unreported'), 5);
+  cachedPrefixes.note('used', 'salt', 'part', 5);
+  cachedPrefixes.expire();
+  t.deepEqual(['reported', 'unreported', 'used'].map(tokensAt), [5, 0, 5]);
 });
 
 test('in a small deployment every router follows every holder', (t) => {
@@ -97,42 +98,42 @@
   for (let rank = 0; rank < 7; rank += 1) t.is(ownShareOfFeeds(feeds, rank, 7).length, 14);
 });
 
-test('repeats stay within the share of the window', (t) => {
+test('retries stay within their share of the requests in the window', (t) => {
   const event = fc.tuple(fc.boolean(), fc.integer({ min: 0, max: 400 }));
   const property = fc.property(fc.array(event, { maxLength: 300 }), (events) => {
     const budget = new SharedRetryBudget({ ratio: 0.2, windowMs: 10_000, allowance: 54 });
     let nowMs = 0;
     const requests: number[] = [];
-    const repeats: number[] = [];
-    for (const [isRequest, gapMs] of events) {
+    const retries: number[] = [];
+    for (const [isFirstAttempt, gapMs] of events) {
       nowMs += gapMs;
-      if (isRequest) {
+      if (isFirstAttempt) {
         budget.noteRequest(nowMs);
         requests.push(nowMs);
-      } else if (budget.trySpend(nowMs, 7)) repeats.push(nowMs);
-      const within = (times: number[]): number =>
+      } else if (budget.trySpend(nowMs, 7)) retries.push(nowMs);
+      const countInWindow = (times: number[]): number =>
         times.filter((timeMs) => timeMs > nowMs - 10_000).length;
-      t.true(within(repeats) <= 0.2 * within(requests) + 54 / 7 + 10);
+      t.true(countInWindow(retries) <= 0.2 * countInWindow(requests) + 54 / 7 + 10);
     }
   });
   fc.assert(property, SEED);
 });
 
-test('a split gives each part its weight within one request', (t) => {
+test('a traffic split deviates from each weight by at most one request per target', (t) => {
   const weights = fc.array(fc.integer({ min: 1, max: 100 }), { minLength: 2, maxLength: 5 });
   const property = fc.property(weights, fc.integer({ min: 1, max: 400 }), (parts, count) => {
     const targets = parts.map((weight, index) => ({ service: `s${index}`, weight }));
     const route = { name: 'r', targets } as unknown as Route;
     const split = new TrafficSplit();
     const total = parts.reduce((sum, weight) => sum + weight, 0);
-    const taken = new Map<string, number>();
-    for (let turn = 0; turn < count; turn += 1) {
+    const requestsByService = new Map<string, number>();
+    for (let index = 0; index < count; index += 1) {
       const service = split.next(route) as string;
-      taken.set(service, (taken.get(service) ?? 0) + 1);
+      requestsByService.set(service, (requestsByService.get(service) ?? 0) + 1);
     }
     for (const { service, weight } of targets) {
       const share = (count * weight) / total;
-      t.true(Math.abs((taken.get(service) ?? 0) - share) <= parts.length);
+      t.true(Math.abs((requestsByService.get(service) ?? 0) - share) <= parts.length);
     }
   });
   fc.assert(property, SEED);
--- a/test/helpers/engine-record.ts
+++ b/test/helpers/engine-record.ts
@@ -1,17 +1,17 @@
-/** Records of engines as tests need them. */
+/** Engine records for tests. */
 import { incarnationOf } from '../../src/state/routing/engine-incarnation.js';
 import type { EngineRecord } from '../../src/state/routing/engine-record.js';
 
-/** An engine's record in one of its lives. */
+/** Creates the record of one incarnation of an engine. */
 export function engineRecord(
   name: string,
-  bornMs: number | undefined,
+  startedAtMs: number | undefined,
   changes: Partial<EngineRecord> = {},
 ): EngineRecord {
   return {
-    id: incarnationOf(name, bornMs),
+    id: incarnationOf(name, startedAtMs),
     name,
-    bornMs,
+    bornMs: startedAtMs,
     service: 'generation',
     address: `${name}:1`,
     zone: 'zone-a',
--- a/test/helpers/placement-harness.ts
+++ b/test/helpers/placement-harness.ts
@@ -1,6 +1,6 @@
 /**
- * Routers that place generations at batching engines: the real placement and load tables, what they tell
- * each other of their work, and what the callers see of their streams.
+ * Simulates routers that place generations on batching engines, with the real placement, load
+ * tables and load reports, and counts the outcomes for callers.
  */
 import { createHasher } from '../../src/runtime/hasher.js';
 import { SeededRandom } from '../../src/runtime/random.js';
@@ -19,39 +19,39 @@
 import { BatchingEngine } from './batching-engine.js';
 import { engineRecord } from './engine-record.js';
 
-/** A kind of generation that callers ask for. */
+/** A kind of generation requested by callers. */
 export interface GenerationKind {
   readonly name: string;
   readonly perSecond: number;
-  readonly subjects: number;
+  readonly affinityKeyCount: number;
   readonly sharedTokens: number;
   readonly ownTokens: number;
   readonly outputTokens: number;
-  readonly objectiveMs: number;
-  readonly longestPauseMs: number;
+  readonly firstTokenObjectiveMs: number;
+  readonly maximumPauseMs: number;
   readonly priority: number;
 }
 
-/** The deployment and its load. */
+/** Simulated deployment and its traffic. */
 export interface PlacementScenario {
   readonly routers: number;
   readonly engines: number;
   readonly zones: number;
   readonly kinds: readonly GenerationKind[];
-  /** How often a router reports its work, in milliseconds. */
+  /** Period of a router's load reports, in milliseconds. */
   readonly reportPeriodMs: number;
-  /** Routers chosen at random that get each report; undefined: all. */
+  /** Number of random routers that receive each report; undefined for all. */
   readonly reportFanout?: number;
   readonly seed: number;
 }
 
-/** What callers of one kind saw. */
-export interface KindFigures {
-  asked: number;
-  inTime: number;
-  lateFirst: number;
-  latePause: number;
-  refused: number;
+/** Outcome counts of one kind of generation. */
+export interface KindOutcomes {
+  sent: number;
+  onTime: number;
+  lateFirstTokens: number;
+  latePauses: number;
+  rejected: number;
 }
 
 interface SimulatedRouter {
@@ -64,13 +64,13 @@
 const SERVICE = 'generation';
 const SLOTS = 16;
 const CACHE_TOKENS = 86_721;
-const WAY_MS = 2;
-const SLOWNESS = [1, 1, 1.3];
+const NETWORK_DELAY_MS = 2;
+const SLOWDOWN_FACTORS = [1, 1, 1.3];
 
-/** The deployment. */
+/** The simulated deployment. */
 export class PlacementHarness {
   readonly clock = new VirtualClock();
-  readonly figures = new Map<string, KindFigures>();
+  readonly outcomes = new Map<string, KindOutcomes>();
   readonly engines: BatchingEngine[] = [];
   private readonly registry = new EngineRegistry();
   private readonly routers: SimulatedRouter[] = [];
@@ -82,7 +82,7 @@
     homes: HomeRanking,
   ) {
     this.random = new SeededRandom(scenario.seed);
-    for (const { name } of scenario.kinds) this.figures.set(name, noFigures());
+    for (const { name } of scenario.kinds) this.outcomes.set(name, noOutcomes());
     for (let index = 0; index < scenario.engines; index += 1) this.addEngine(index);
     for (let index = 0; index < scenario.routers; index += 1) this.addRouter(index, homes);
   }
@@ -91,24 +91,24 @@
     return new PlacementHarness(scenario, new HomeRanking(await createHasher()));
   }
 
-  /** Lets callers send for a while, and waits until their streams have ended. */
-  async play(forMs: number): Promise<void> {
+  /** Sends requests for the given time, then waits for their streams to end. */
+  async run(forMs: number): Promise<void> {
     const untilMs = this.clock.now() + forMs;
     for (const kind of this.scenario.kinds) this.scheduleNext(kind, untilMs);
     for (const router of this.routers) this.scheduleReport(router, untilMs);
-    const ENDING_MS = 20_000;
-    await this.clock.advance(forMs + ENDING_MS);
+    const DRAIN_MS = 20_000;
+    await this.clock.advance(forMs + DRAIN_MS);
   }
 
-  /** Prompt tokens that the engines read. */
+  /** Prompt tokens prefilled by all engines. */
   get readTokens(): number {
     return this.engines.reduce((sum, { readTokens }) => sum + readTokens, 0);
   }
 
   private addEngine(index: number): void {
     const { zones } = this.scenario;
-    const slowness = SLOWNESS[index % SLOWNESS.length] as number;
-    const zone = `zone-${Math.floor(index / SLOWNESS.length) % zones}`;
+    const slowness = SLOWDOWN_FACTORS[index % SLOWDOWN_FACTORS.length] as number;
+    const zone = `zone-${Math.floor(index / SLOWDOWN_FACTORS.length) % zones}`;
     const changes = { service: SERVICE, zone, slots: SLOTS };
     this.registry.put(engineRecord(`engine-${index}`, undefined, changes));
     this.engines.push(
@@ -140,7 +140,7 @@
     const gapMs = (-Math.log(1 - this.random.next()) * 1_000) / kind.perSecond;
     if (this.clock.now() + gapMs > untilMs) return;
     this.clock.setTimer(gapMs, () => {
-      this.sendOne(kind);
+      this.sendGeneration(kind);
       this.scheduleNext(kind, untilMs);
     });
   }
@@ -154,21 +154,21 @@
     });
   }
 
-  /** What a router has under way reaches the others, or a few of them. */
+  /** Sends a router's load to the others, or to a few of them. */
   private report(router: SimulatedRouter): void {
     router.sequence += 1;
     const { sequence } = router;
     const name = `router-${this.routers.indexOf(router)}`;
     const loads = new Map(router.tables.loads.ownLoads);
-    for (const other of this.audience()) {
+    for (const other of this.reportRecipients()) {
       if (other === router) continue;
-      this.clock.setTimer(WAY_MS, () =>
+      this.clock.setTimer(NETWORK_DELAY_MS, () =>
         other.tables.loads.receive(name, sequence, loads, this.clock.now()),
       );
     }
   }
 
-  private audience(): readonly SimulatedRouter[] {
+  private reportRecipients(): readonly SimulatedRouter[] {
     const { reportFanout } = this.scenario;
     if (reportFanout === undefined) return this.routers;
     return Array.from(
@@ -177,10 +177,10 @@
     );
   }
 
-  private sendOne(kind: GenerationKind): void {
-    const figures = this.figures.get(kind.name) as KindFigures;
-    figures.asked += 1;
-    const generation = this.draw(kind);
+  private sendGeneration(kind: GenerationKind): void {
+    const outcomes = this.outcomes.get(kind.name) as KindOutcomes;
+    outcomes.sent += 1;
+    const generation = this.nextGeneration(kind);
     const router = this.routers[Math.floor(this.random.next() * this.routers.length)];
     if (!router) return;
     const placement = placeRequest(
@@ -206,7 +206,7 @@
       this.clock.now(),
     );
     if (typeof placement === 'string') {
-      figures.refused += 1;
+      outcomes.rejected += 1;
       return;
     }
     const { id } = placement.engine.record;
@@ -217,7 +217,7 @@
     let isLateFirst = false;
     let isLatePause = false;
     const sharedTokens = generation.parts[0]?.tokens ?? 0;
-    this.clock.setTimer(WAY_MS, () =>
+    this.clock.setTimer(NETWORK_DELAY_MS, () =>
       engine.send({
         subject: generation.parts[0]?.id ?? '',
         sharedTokens,
@@ -228,48 +228,48 @@
         onEvent: () => {
           const now = this.clock.now();
           if (lastMs === undefined) {
-            isLateFirst = now - sentMs > kind.objectiveMs;
+            isLateFirst = now - sentMs > kind.firstTokenObjectiveMs;
             load.notePromptRead();
             const salt = placement.cacheSalt ?? '';
             router.tables.kept.notePrompt(id, salt, generation.parts);
-          } else if (now - lastMs > kind.longestPauseMs) isLatePause = true;
+          } else if (now - lastMs > kind.maximumPauseMs) isLatePause = true;
           lastMs = now;
         },
         onEnd: () => {
           load.release();
-          if (isLateFirst) figures.lateFirst += 1;
-          else if (isLatePause) figures.latePause += 1;
-          else figures.inTime += 1;
+          if (isLateFirst) outcomes.lateFirstTokens += 1;
+          else if (isLatePause) outcomes.latePauses += 1;
+          else outcomes.onTime += 1;
         },
         onRefused: () => {
           load.release();
-          figures.refused += 1;
+          outcomes.rejected += 1;
         },
       }),
     );
   }
 
-  private draw(kind: GenerationKind): GenerationShape {
+  private nextGeneration(kind: GenerationKind): GenerationShape {
     this.requests += 1;
-    const subject = Math.floor(this.random.next() ** 1.3 * kind.subjects);
-    const ownTokens = this.spread(kind.ownTokens, 1);
-    const outputTokens = this.spread(kind.outputTokens, 0.7);
+    const affinityKey = Math.floor(this.random.next() ** 1.3 * kind.affinityKeyCount);
+    const ownTokens = this.logNormal(kind.ownTokens, 1);
+    const outputTokens = this.logNormal(kind.outputTokens, 0.7);
     const parts = [
-      { id: `${kind.name}-${subject}`, tokens: kind.sharedTokens },
+      { id: `${kind.name}-${affinityKey}`, tokens: kind.sharedTokens },
       { id: `own-${this.requests}`, tokens: ownTokens },
     ];
     const promptTokens = kind.sharedTokens + ownTokens;
     return { model: MODEL, parts, promptTokens, maximumOutputTokens: outputTokens };
   }
 
-  /** A log-normal size with the given mean. */
-  private spread(mean: number, sigma: number): number {
+  /** Draws from a log-normal distribution with the given mean. */
+  private logNormal(mean: number, sigma: number): number {
     const angle = 2 * Math.PI * this.random.next();
     const normal = Math.sqrt(-2 * Math.log(1 - this.random.next())) * Math.cos(angle);
     return Math.max(1, Math.round(mean * Math.exp(sigma * normal - (sigma * sigma) / 2)));
   }
 }
 
-function noFigures(): KindFigures {
-  return { asked: 0, inTime: 0, lateFirst: 0, latePause: 0, refused: 0 };
+function noOutcomes(): KindOutcomes {
+  return { sent: 0, onTime: 0, lateFirstTokens: 0, latePauses: 0, rejected: 0 };
 }
