--- a/src/state/routing/cached-prefixes.ts
+++ b/src/state/routing/cached-prefixes.ts
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Starts a new expiry period. For holders without events, removes parts that were recorded in
-   * neither the last period nor the one before, since their eviction is not observed.
+   * Ends the current expiry period. For holders without events, removes parts that were not
+   * recorded during it, since their eviction is not observed.
    */
   expire(): void {
     for (const [holder, parts] of this.partsByHolder) {
--- a/src/state/routing/engine-limits.ts
+++ b/src/state/routing/engine-limits.ts
@@ -10,7 +10,7 @@
 /** Number of distinct values of {@link memberKey}. */
 const MEMBER_KEY_COUNT = 2 ** 32;
 /** A change is announced for this long, so that it survives the loss of some datagrams. */
-const ANNOUNCED_FOR_MS = 1_500;
+const ANNOUNCEMENT_PERIOD_MS = 1_500;
 /**
  * Maximum error of the age in an announcement, which does not include queueing and transit. A lift
  * counts only if it is certainly newer than the last response with a limit.
@@ -86,15 +86,15 @@
 
   /** Announcements to send to the other routers. */
   notices(nowMs: number): EngineLimitAnnouncement[] {
-    const announcements: EngineLimitAnnouncement[] = [];
-    for (const [engineName, { perSecond, asOfMs, learnedAtMs: learnedAtMs }] of this.knownLimits) {
+    const changes: EngineLimitAnnouncement[] = [];
+    for (const [engineName, { perSecond, asOfMs, learnedAtMs }] of this.knownLimits) {
       const ageMs = Math.max(0, Math.round(nowMs - asOfMs));
       const retentionMs = perSecond === undefined ? LIFTED_RETENTION_MS : LIMIT_RETENTION_MS;
       if (ageMs > retentionMs) this.forget(engineName);
-      else if (nowMs - learnedAtMs < ANNOUNCED_FOR_MS)
-        announcements.push({ engineName, perSecond, ageMs });
+      else if (nowMs - learnedAtMs < ANNOUNCEMENT_PERIOD_MS)
+        changes.push({ engineName, perSecond, ageMs });
     }
-    return announcements;
+    return changes;
   }
 
   /** Requests per second; undefined if the engine has no known limit. */
@@ -138,7 +138,7 @@
     const current = this.knownLimits.get(engineName);
     const isChanged = current?.perSecond !== perSecond;
     const learnedAtMs = current && !isChanged ? current.learnedAtMs : nowMs;
-    this.knownLimits.set(engineName, { perSecond, asOfMs, learnedAtMs: learnedAtMs });
+    this.knownLimits.set(engineName, { perSecond, asOfMs, learnedAtMs });
     if (perSecond === undefined) this.sendSlots.delete(engineName);
     return isChanged;
   }
--- a/src/state/routing/home-ranking.ts
+++ b/src/state/routing/home-ranking.ts
@@ -47,9 +47,8 @@
     isEligible: (holder: Holder) => boolean,
   ): Holder[] {
     const ranked = this.first(affinityKey, holders, idOf, count * CANDIDATES_PER_ELIGIBLE);
-    const eligible = ranked.filter(isEligible);
-    if (eligible.length >= count || ranked.length === holders.length)
-      return eligible.slice(0, count);
+    const found = ranked.filter(isEligible);
+    if (found.length >= count || ranked.length === holders.length) return found.slice(0, count);
     return this.first(affinityKey, holders.filter(isEligible), idOf, count);
   }
 
