--- a/test/helpers/engine-list-harness.ts
+++ b/test/helpers/engine-list-harness.ts
@@ -1,4 +1,4 @@
-/** A list of engines as one router follows it, with a log that tests can read. */
+/** Harness of one router's list of engines, with a log that tests can read. */
 import { EngineList } from '../../src/coordination/gateway/engine-list.js';
 import {
   EngineIncarnationTracker,
@@ -11,14 +11,14 @@
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 
-/** What a list is set up with. */
+/** Settings of the list. */
 export interface EngineListOptions {
   readonly decoder: ObjectDecoder;
   readonly drainMs?: number;
   readonly services?: readonly string[];
 }
 
-/** Keeps the lines it is given. */
+/** Logger that records all lines. */
 export class RecordedLog implements Logger {
   readonly lines: { readonly event: string; readonly fields: LogFields }[] = [];
 
@@ -36,32 +36,32 @@
     this.lines.push({ event, fields });
   }
 
-  /** Fields of all lines of one event. */
+  /** Returns the fields of all lines of one event. */
   of(event: string): LogFields[] {
     return this.lines.filter((line) => line.event === event).map(({ fields }) => fields);
   }
 }
 
-/** A list, its registry and what it found out. */
+/** A list of engines with its registry and the restarts it detected. */
 export class EngineListHarness {
   readonly clock = new VirtualClock();
   readonly registry = new EngineRegistry();
   readonly statistics = new GatewayStatistics();
   readonly log = new RecordedLog();
-  readonly rebirths: EngineRestart[] = [];
-  readonly lives = new EngineIncarnationTracker(this.registry, this.statistics, this.log);
-  readonly odd = new MalformedEntries(this.statistics, this.clock, this.log);
+  readonly restarts: EngineRestart[] = [];
+  readonly incarnations = new EngineIncarnationTracker(this.registry, this.statistics, this.log);
+  readonly malformed = new MalformedEntries(this.statistics, this.clock, this.log);
   readonly list: EngineList;
 
   constructor({ decoder, drainMs = 2_000, services }: EngineListOptions) {
-    this.lives.connect({
+    this.incarnations.connect({
       onChanged: () => undefined,
-      onRestarted: (rebirth) => this.rebirths.push(rebirth),
+      onRestarted: (restart) => this.restarts.push(restart),
     });
     this.list = new EngineList({
       registry: this.registry,
-      lives: this.lives,
-      odd: this.odd,
+      incarnations: this.incarnations,
+      malformed: this.malformed,
       decoder,
       clock: this.clock,
       logger: this.log,
