--- a/src/coordination/gateway/cache-feeds.ts
+++ b/src/coordination/gateway/cache-feeds.ts
@@ -36,7 +36,7 @@
 const EVENT_WAIT_MS = 1_000;
 /** Pause between calls, so that one response carries several events. */
 const CALL_PAUSE_MS = 150;
-/** Minimum period between queries of a holder's complete contents, which follow gaps. */
+/** After a gap in its events, a holder's complete contents are queried at most this often. */
 const MINIMUM_CONTENTS_PERIOD_MS = 6_000;
 const FIRST_FAILURE_PAUSE_MS = 300;
 const MAXIMUM_FAILURE_PAUSE_MS = 3_000;
--- a/src/coordination/gateway/engine-list.ts
+++ b/src/coordination/gateway/engine-list.ts
@@ -124,7 +124,7 @@
     const incarnation = this.currentIncarnation(name);
     if (incarnation === undefined) return;
     if (clock.now() - this.lastFailureMs >= LAPSE_WINDOW_MS) {
-      this.removeGone(incarnation);
+      this.recordRemoval(incarnation);
       return;
     }
     this.missing.set(name, incarnation);
@@ -132,7 +132,7 @@
       if (this.missing.get(name) !== incarnation) return;
       this.missing.delete(name);
       const present = this.currentIncarnation(name);
-      if (present !== undefined) this.removeGone(present);
+      if (present !== undefined) this.recordRemoval(present);
     });
   }
 
@@ -209,8 +209,8 @@
     this.parts.malformed.note(name, position, `service ${service}: not in the configuration`);
   }
 
-  private removeGone(id: string): void {
-    this.restored.noteGone(id);
+  private recordRemoval(id: string): void {
+    this.restored.recordRemoved(id);
     this.drop(id);
   }
 
--- a/src/coordination/gateway/restored-entries.ts
+++ b/src/coordination/gateway/restored-entries.ts
@@ -10,7 +10,7 @@
 import type { StoredObject } from '../../protocol/object-store/port.js';
 
 /** Remembered incarnations with removed entries; only recently removed entries can reappear. */
-const MAXIMUM_GONE = 256;
+const MAXIMUM_REMOVED = 256;
 
 /** Dependencies and settings of {@link RestoredEntries}. */
 export interface RestoredEntriesParts {
@@ -25,7 +25,7 @@
 /** Holds back reappeared entries for one router. */
 export class RestoredEntries {
   /** Incarnations whose entries were removed, the newest last. */
-  private readonly gone = new Set<string>();
+  private readonly removed = new Set<string>();
   private readonly heldBack = new Map<string, StoredObject>();
   private isRestored = false;
 
@@ -42,10 +42,10 @@
   }
 
   /** Records that the entry of an incarnation was removed. */
-  noteGone(incarnation: string): void {
-    this.gone.add(incarnation);
-    const [oldest] = this.gone;
-    if (this.gone.size > MAXIMUM_GONE && oldest !== undefined) this.gone.delete(oldest);
+  recordRemoved(incarnation: string): void {
+    this.removed.add(incarnation);
+    const [oldest] = this.removed;
+    if (this.removed.size > MAXIMUM_REMOVED && oldest !== undefined) this.removed.delete(oldest);
   }
 
   /** Drops an entry that was held back and has lapsed or been replaced. */
@@ -56,12 +56,12 @@
   /** Whether an incarnation's entry is held back; otherwise the entry is used from now on. */
   holdsBack(entry: StoredObject, incarnation: string): boolean {
     if (this.heldBack.get(entry.name)?.position.isSame(entry.position)) return true;
-    if (this.isRestored && this.gone.has(incarnation)) {
+    if (this.isRestored && this.removed.has(incarnation)) {
       this.holdBack(entry);
       return true;
     }
     this.heldBack.delete(entry.name);
-    this.gone.delete(incarnation);
+    this.removed.delete(incarnation);
     return false;
   }
 
--- a/src/coordination/gateway/weight-version-discovery.ts
+++ b/src/coordination/gateway/weight-version-discovery.ts
@@ -104,9 +104,9 @@
     const isProof = proven !== ElapsedInstant.never;
     this.hasDirectResponse = isProof && !isRelayed;
     if (!isProof) return;
-    const answeredAt = this.parts.clock.elapsed().plus(-RESPONSE_TRANSIT_MS);
+    const respondedAt = this.parts.clock.elapsed().plus(-RESPONSE_TRANSIT_MS);
     this.provenCurrentAt = this.provenCurrentAt.latest(
-      isRelayed ? proven : proven.latest(answeredAt),
+      isRelayed ? proven : proven.latest(respondedAt),
     );
   }
 
--- a/test/gateway/crash-announcements.test.ts
+++ b/test/gateway/crash-announcements.test.ts
@@ -6,7 +6,7 @@
 
 const ROUTERS = 60;
 const JOINED_MS = 6_000;
-const BYSTANDERS = 15;
+const UNRELATED_REQUESTS = 15;
 const LOSS = 0.1;
 /** A third of the 3 s after the third crash within which a router must apply the quarantine. */
 const SPREAD_MS = 1_000;
@@ -18,10 +18,10 @@
 
 /** An engine crash during one suspect request and several unrelated ones. */
 function crashOf(engine: number): { engineId: string; fingerprints: string[] } {
-  const bystanders = Array.from({ length: BYSTANDERS }, (_, index) =>
-    (engine * BYSTANDERS + index).toString(16).padStart(32, '0'),
+  const unrelated = Array.from({ length: UNRELATED_REQUESTS }, (_, index) =>
+    (engine * UNRELATED_REQUESTS + index).toString(16).padStart(32, '0'),
   );
-  return { engineId: `engine-${engine}`, fingerprints: [...bystanders, CAUSE] };
+  return { engineId: `engine-${engine}`, fingerprints: [...unrelated, CAUSE] };
 }
 
 test('all routers of a large group quarantine a request whose crashes three routers observed', async (t) => {
@@ -34,8 +34,8 @@
   );
   await harness.clock.advance(SPREAD_MS);
   t.is(harness.peers.filter(({ guard }) => guard.isQuarantined(CAUSE)).length, ROUTERS);
-  const blamed = harness.peers.flatMap(({ guard }) => [...guard.quarantinedSince.keys()]);
-  t.deepEqual(new Set(blamed), new Set([CAUSE]));
+  const quarantined = harness.peers.flatMap(({ guard }) => [...guard.quarantinedSince.keys()]);
+  t.deepEqual(new Set(quarantined), new Set([CAUSE]));
 
   const late = await harness.start();
   await harness.clock.advance(STARTED_MS);
--- a/test/gateway/entry-lapse.test.ts
+++ b/test/gateway/entry-lapse.test.ts
@@ -56,9 +56,9 @@
 
 test('an engine that crashed during the outage is removed soon after it', async (t) => {
   const simulation = await GatewaySimulation.create(2);
-  const gone = simulation.engine(4);
+  const crashed = simulation.engine(4);
   simulation.lapseEntries(DOWN_MS, REWRITE_MS);
-  gone.crash();
+  crashed.crash();
   await simulation.clock.advance(DOWN_MS + 2 * REWRITE_MS + 1_000);
   const sends = simulation.observations.runs.length;
   for (let turn = 0; turn < 30; turn += 1) {
--- a/test/gateway/run-start-on-replaced-weights.test.ts
+++ b/test/gateway/run-start-on-replaced-weights.test.ts
@@ -20,7 +20,7 @@
  * Sends requests of one kind until after the deadline, to slow engines that accept no load
  * commands.
  */
-async function playSlowEngines(
+async function runWithSlowEngines(
   seed: number,
   kind: RequestKind,
   steadyMs = 0,
@@ -50,13 +50,13 @@
 
 test('no resumable stream starts on expired weights', async (t) => {
   for (const seed of SEEDS) {
-    t.deepEqual(findBreaches(await playSlowEngines(seed, 'stream-resumable')), []);
+    t.deepEqual(findBreaches(await runWithSlowEngines(seed, 'stream-resumable')), []);
   }
 });
 
 test('no stream that may run only once starts on expired weights', async (t) => {
   for (const seed of SEEDS) {
-    t.deepEqual(findBreaches(await playSlowEngines(seed, 'stream-once')), []);
+    t.deepEqual(findBreaches(await runWithSlowEngines(seed, 'stream-once')), []);
   }
 });
 
@@ -66,7 +66,7 @@
 test('no stream starts on expired weights at routers that observed the naming', async (t) => {
   for (const kind of ['stream-resumable', 'stream-once'] as const) {
     for (const seed of SEEDS) {
-      t.deepEqual(findBreaches(await playSlowEngines(seed, kind, STEADY_MS)), []);
+      t.deepEqual(findBreaches(await runWithSlowEngines(seed, kind, STEADY_MS)), []);
     }
   }
 });
--- a/test/gateway/weight-handover.test.ts
+++ b/test/gateway/weight-handover.test.ts
@@ -6,15 +6,15 @@
 import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
 
 const STEP_MS = 50;
-const BOUND_MS = 8_000;
+const DEADLINE_MS = 8_000;
 
 /**
  * Names weights, waits for the first load command and returns the index of the router that sent it.
  */
-async function untilFirstOrder(simulation: GatewaySimulation): Promise<number> {
+async function untilFirstLoadCommand(simulation: GatewaySimulation): Promise<number> {
   const before = simulation.observations.orders.length;
   simulation.nameWeights();
-  for (let spentMs = 0; spentMs < BOUND_MS; spentMs += STEP_MS) {
+  for (let spentMs = 0; spentMs < DEADLINE_MS; spentMs += STEP_MS) {
     await simulation.clock.advance(STEP_MS);
     const order = simulation.observations.orders[before];
     if (order) return Number(order.holder.at(-1));
@@ -36,7 +36,7 @@
 
 test('engines that a leaving coordinator was loading are used again, and another router continues', async (t) => {
   const simulation = await GatewaySimulation.create(1);
-  const holder = await untilFirstOrder(simulation);
+  const holder = await untilFirstLoadCommand(simulation);
   simulation.stopRouter(holder, 7_500);
   t.true((await servedShare(simulation, 7_000)) > 0.9);
   t.true(simulation.fleet.generationEngines.every((engine) => engine.weightsVersion === 2));
@@ -45,7 +45,7 @@
 
 test('another router continues if the coordinator crashes', async (t) => {
   const simulation = await GatewaySimulation.create(2);
-  const holder = await untilFirstOrder(simulation);
+  const holder = await untilFirstLoadCommand(simulation);
   simulation.killRouter(holder, 20_000);
   await simulation.clock.advance(12_000);
   t.true(simulation.fleet.generationEngines.every((engine) => engine.weightsVersion === 2));
@@ -54,7 +54,7 @@
 
 test('another router continues if the coordinator cannot reach the store', async (t) => {
   const simulation = await GatewaySimulation.create(3);
-  const holder = await untilFirstOrder(simulation);
+  const holder = await untilFirstLoadCommand(simulation);
   simulation.cutFromStore(holder, 30_000);
   await simulation.clock.advance(14_000);
   t.true(simulation.fleet.generationEngines.every((engine) => engine.weightsVersion === 2));
@@ -97,7 +97,7 @@
 test('a coordinator that loses its connection to the store during a rollout is replaced within the lease time', async (t) => {
   const simulation = await GatewaySimulation.create(5);
   await warmUp(simulation);
-  const holder = await untilFirstOrder(simulation);
+  const holder = await untilFirstLoadCommand(simulation);
   simulation.cutFromStore(holder, 30_000);
   t.true((await loadedAfterMs(simulation, 14_000)) < 7_000);
   await simulation.settle();
@@ -107,7 +107,7 @@
 test('a router without a connection to the store learns of new weights from the others', async (t) => {
   const simulation = await GatewaySimulation.create(6);
   await warmUp(simulation);
-  const holder = await untilFirstOrder(simulation);
+  const holder = await untilFirstLoadCommand(simulation);
   await simulation.clock.advance(8_000);
   simulation.cutFromStore(holder, 30_000);
   simulation.nameWeights();
@@ -119,7 +119,7 @@
 test('the last router in the succession does not wait for routers that have just crashed', async (t) => {
   const simulation = await GatewaySimulation.create(7);
   await warmUp(simulation);
-  await untilFirstOrder(simulation);
+  await untilFirstLoadCommand(simulation);
   await simulation.clock.advance(8_000);
   const LONG_MS = 60_000;
   simulation.killRouter(0, LONG_MS);
--- a/test/gateway/weight-outage.test.ts
+++ b/test/gateway/weight-outage.test.ts
@@ -28,12 +28,12 @@
     const [fromMs, toMs] = [Math.min(left, right), Math.max(left, right)];
     let now = 0;
     let longestMs = 0;
-    for (const [soundMs, outMs] of spans) {
-      now += soundMs;
+    for (const [availableMs, outageMs] of spans) {
+      now += availableMs;
       outages.noteFailure(now);
       outages.noteFailure(now);
-      longestMs += Math.max(0, Math.min(toMs, now + outMs) - Math.max(fromMs, now));
-      now += outMs;
+      longestMs += Math.max(0, Math.min(toMs, now + outageMs) - Math.max(fromMs, now));
+      now += outageMs;
       outages.noteAnswer(now);
     }
     return outages.within(fromMs, toMs) <= longestMs;
--- a/test/gateway/weight-version-discovery.test.ts
+++ b/test/gateway/weight-version-discovery.test.ts
@@ -1,4 +1,4 @@
-/** A router must not underestimate the age of a weight version. */
+/** A router must not date a weight version too late, nor earlier than its last proof allows. */
 import test from 'ava';
 import { WeightVersionDiscovery } from '../../src/coordination/gateway/weight-version-discovery.js';
 import { DECODER, SIMULATION_MODEL } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
