--- a/test/platform/code-cache.test.ts
+++ b/test/platform/code-cache.test.ts
@@ -1,22 +1,22 @@
-/** The starter of the bundled program: with compiled code, without it, and with code it can't take. */
+/** Guards against a start script that fails with a missing or invalid code cache. */
 import { spawnSync } from 'node:child_process';
 import { copyFileSync, existsSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import test from 'ava';
 
-const STARTER = 'scripts/start-from-code-cache.cjs';
+const START_SCRIPT = 'scripts/start-from-code-cache.cjs';
 const PROGRAM =
   "process.stdout.write(['runs', typeof require, __filename.endsWith('router.cjs')].join(' '));";
 
-/** Gets SIGHUP before it has installed a handler of its own, as a router does that is still starting. */
+/** Receives SIGHUP before it installs its own handler, like a router during startup. */
 const RELOADED_PROGRAM =
   "process.kill(process.pid, 'SIGHUP'); setTimeout(() => process.stdout.write('runs on'), 50);";
 
-/** A folder with the starter and a small program in place of the router. */
+/** Creates a folder with the start script and a small program in place of the router. */
 function bundleFolder(program = PROGRAM): string {
   const folder = mkdtempSync(path.join(tmpdir(), 'peatspan-start-'));
-  copyFileSync(STARTER, path.join(folder, 'peatspan.cjs'));
+  copyFileSync(START_SCRIPT, path.join(folder, 'peatspan.cjs'));
   writeFileSync(path.join(folder, 'router.cjs'), program);
   return folder;
 }
@@ -26,7 +26,7 @@
   return `${result.stdout.toString()}${result.stderr.toString()}`;
 }
 
-test('the program runs the same with compiled code, without it and with useless code', (t) => {
+test('the program runs with a valid, a missing and an invalid code cache', (t) => {
   const folder = bundleFolder();
   t.teardown(() => rmSync(folder, { recursive: true }));
   const cache = path.join(folder, 'router.cache');
@@ -40,7 +40,7 @@
   t.is(start(folder), expected);
 });
 
-test('a reload of the settings does not end a program that is still starting', (t) => {
+test('a settings reload does not terminate a program that is still starting', (t) => {
   const folder = bundleFolder(RELOADED_PROGRAM);
   t.teardown(() => rmSync(folder, { recursive: true }));
   t.is(start(folder), 'runs on');
--- a/test/platform/engine-exchange.test.ts
+++ b/test/platform/engine-exchange.test.ts
@@ -1,4 +1,4 @@
-/** Answers of engines over real connections on loopback: whole, cut, crossed, refused. */
+/** Guards against misclassified engine responses: incomplete, mismatched and rejecting ones. */
 import net from 'node:net';
 import test, { type ExecutionContext } from 'ava';
 import { EngineClient } from '../../platform/engine-client.js';
@@ -41,7 +41,7 @@
   end: 'whole' | ExchangeFailure;
 }
 
-/** Serves every connection with a script; answers how the exchange ended for the router. */
+/** Serves every connection with a script; returns the outcome of the exchange for the router. */
 async function exchangeWith(
   t: ExecutionContext,
   script: (socket: net.Socket, received: string) => void,
@@ -74,7 +74,7 @@
   });
 }
 
-test('an answer with a length is whole', async (t) => {
+test('a response with a Content-Length is complete', async (t) => {
   const outcome = await exchangeWith(t, (socket) => {
     socket.write(`${HEAD}Content-Length: 5\r\n\r\nhello`);
   });
@@ -83,13 +83,13 @@
   t.true(outcome.head?.isAttested);
 });
 
-test('an answer without a length that ends with its connection is whole', async (t) => {
+test('a response without a Content-Length is complete when its connection ends', async (t) => {
   const outcome = await exchangeWith(t, (socket) => socket.end(`${HEAD}\r\nhello`));
   t.is(outcome.end, 'whole');
   t.is(outcome.body, 'hello');
 });
 
-test('an answer without a length is cut where a reset comes with its last bytes', async (t) => {
+test('a response without a Content-Length is incomplete if a reset arrives with its last bytes', async (t) => {
   const outcome = await exchangeWith(t, (socket) => {
     socket.write(`${HEAD}\r\nhel`);
     socket.resetAndDestroy();
@@ -97,21 +97,21 @@
   t.not(outcome.end, 'whole');
 });
 
-test('an answer without a length is cut where a reset comes later', async (t) => {
+test('a response without a Content-Length is incomplete if a reset arrives later', async (t) => {
   const outcome = await exchangeWith(t, (socket) => {
     socket.write(`${HEAD}\r\nhel`, () => setTimeout(() => socket.resetAndDestroy(), 30));
   });
   t.not(outcome.end, 'whole');
 });
 
-test('an answer shorter than its length is cut', async (t) => {
+test('a response shorter than its Content-Length is incomplete', async (t) => {
   const outcome = await exchangeWith(t, (socket) => {
     socket.end(`${HEAD}Content-Length: 50\r\n\r\nhello`);
   });
   t.is((outcome.end as ExchangeFailure).kind, 'cut');
 });
 
-test('an answer to another request is of no use and leaves the outcome unknown', async (t) => {
+test('a response to another request is discarded and leaves the outcome unknown', async (t) => {
   const other = HEAD.replace('request-1', 'request-0');
   const outcome = await exchangeWith(t, (socket) => {
     socket.write(`${other}Content-Length: 5\r\n\r\nhello`);
@@ -120,7 +120,7 @@
   t.is(outcome.head, undefined);
 });
 
-test('a refusal that says so proves that nothing ran', async (t) => {
+test('a rejection with the not-executed header proves that the request did not run', async (t) => {
   const outcome = await exchangeWith(t, (socket) => {
     socket.write(
       'HTTP/1.1 503 Busy\r\nX-Peatspan-Not-Executed: 1\r\nX-Peatspan-Attempt-Id: request-1\r\nContent-Length: 0\r\n\r\n',
@@ -129,21 +129,21 @@
   t.is((outcome.end as ExchangeFailure).kind, 'refused');
 });
 
-test('a refusal that does not say so proves nothing', async (t) => {
+test('a rejection without the not-executed header leaves the outcome unknown', async (t) => {
   const outcome = await exchangeWith(t, (socket) => {
     socket.write('HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n');
   });
   t.is((outcome.end as ExchangeFailure).kind, 'unknown');
 });
 
-test('bytes that are no answer leave the outcome unknown', async (t) => {
+test('bytes that are not an HTTP response leave the outcome unknown', async (t) => {
   const outcome = await exchangeWith(t, (socket) => {
     socket.write('nonsense\r\n\r\n');
   });
   t.is((outcome.end as ExchangeFailure).kind, 'unknown');
 });
 
-test('an engine that is not there was sent nothing', async (t) => {
+test('nothing was sent to an engine that refuses the connection', async (t) => {
   const outcome = await new Promise<ExchangeFailure>((resolve) => {
     new EngineClient().send(
       { id: 'engine-1', name: 'engine-1', address: '127.0.0.1:1' },
@@ -161,7 +161,7 @@
   t.is(outcome.kind, 'not-sent');
 });
 
-test('method, target, body and headers arrive as they were sent', async (t) => {
+test('the engine receives method, target, body and headers as sent', async (t) => {
   let seen = '';
   await exchangeWith(t, (socket, received) => {
     seen = received;
@@ -174,16 +174,16 @@
   t.true(seen.endsWith('\r\n\r\nbody'));
 });
 
-const REFUSED = 'X-Peatspan-Attempt-Id: request-1\r\nX-Peatspan-Not-Executed: 1\r\n';
+const REJECTED_HEADERS = 'X-Peatspan-Attempt-Id: request-1\r\nX-Peatspan-Not-Executed: 1\r\n';
 
 interface NoticeCase {
   readonly title: string;
-  /** Status and headers. */
+  /** Status line and headers of the response. */
   readonly head: string;
   readonly expected: EngineNotice | undefined;
 }
 
-const NO_NOTICE: EngineNotice = {
+const EMPTY_NOTICE: EngineNotice = {
   isLeaving: false,
   backoffMs: undefined,
   limitPerSecond: undefined,
@@ -193,74 +193,74 @@
 
 const NOTICE_CASES: readonly NoticeCase[] = [
   {
-    title: 'an answer with nothing of the engine',
+    title: 'a response without engine headers',
     head: `200 OK\r\nX-Peatspan-Attempt-Id: request-1\r\n`,
     expected: undefined,
   },
   {
-    title: 'an answer of an engine that leaves',
+    title: 'a response of an engine that is shutting down',
     head: `200 OK\r\nX-Peatspan-Attempt-Id: request-1\r\nServer-Leaving: 1\r\n`,
-    expected: { ...NO_NOTICE, isLeaving: true },
+    expected: { ...EMPTY_NOTICE, isLeaving: true },
   },
   {
-    title: 'a failure of an engine that leaves',
+    title: 'an error response of an engine that is shutting down',
     head: `500 Failed\r\nX-Peatspan-Attempt-Id: request-1\r\nServer-Leaving: 1\r\n`,
-    expected: { ...NO_NOTICE, isLeaving: true },
+    expected: { ...EMPTY_NOTICE, isLeaving: true },
   },
   {
-    title: 'a refusal that asks for a pause',
-    head: `503 Full\r\n${REFUSED}Retry-After: 2.5\r\n`,
-    expected: { ...NO_NOTICE, backoffMs: 2_500 },
+    title: 'a rejection with Retry-After',
+    head: `503 Full\r\n${REJECTED_HEADERS}Retry-After: 2.5\r\n`,
+    expected: { ...EMPTY_NOTICE, backoffMs: 2_500 },
   },
   {
-    title: 'a refusal that asks for a pause, of an engine that leaves',
-    head: `503 Full\r\n${REFUSED}Retry-After: 3\r\nServer-Leaving: 1\r\n`,
-    expected: { ...NO_NOTICE, isLeaving: true, backoffMs: 3_000 },
+    title: 'a rejection with Retry-After from an engine that is shutting down',
+    head: `503 Full\r\n${REJECTED_HEADERS}Retry-After: 3\r\nServer-Leaving: 1\r\n`,
+    expected: { ...EMPTY_NOTICE, isLeaving: true, backoffMs: 3_000 },
   },
   {
-    title: 'a refusal without a readable time',
-    head: `503 Full\r\n${REFUSED}Retry-After: soon\r\n`,
-    expected: { ...NO_NOTICE, unreadable: ['soon'] },
+    title: 'a rejection with an invalid Retry-After',
+    head: `503 Full\r\n${REJECTED_HEADERS}Retry-After: soon\r\n`,
+    expected: { ...EMPTY_NOTICE, unreadable: ['soon'] },
   },
   {
-    title: 'an answer that names a limit',
+    title: 'a response with a rate limit',
     head: `200 OK\r\nX-Peatspan-Attempt-Id: request-1\r\nServer-Limit: 1.6\r\n`,
-    expected: { ...NO_NOTICE, limitPerSecond: 1.6 },
+    expected: { ...EMPTY_NOTICE, limitPerSecond: 1.6 },
   },
   {
-    title: 'a refusal that names a limit of nothing',
-    head: `503 Full\r\n${REFUSED}Server-Limit: 0\r\n`,
-    expected: { ...NO_NOTICE, limitPerSecond: 0 },
+    title: 'a rejection with a rate limit of zero',
+    head: `503 Full\r\n${REJECTED_HEADERS}Server-Limit: 0\r\n`,
+    expected: { ...EMPTY_NOTICE, limitPerSecond: 0 },
   },
   {
-    title: 'an answer with a limit that is no number',
+    title: 'a response with a rate limit that is not a number',
     head: `200 OK\r\nX-Peatspan-Attempt-Id: request-1\r\nServer-Limit: few\r\n`,
-    expected: { ...NO_NOTICE, unreadable: ['few'] },
+    expected: { ...EMPTY_NOTICE, unreadable: ['few'] },
   },
   {
-    title: 'an answer with a header of the platform that this build does not know',
+    title: 'a response with an unknown platform header',
     head: `200 OK\r\nX-Peatspan-Attempt-Id: request-1\r\nServer-Mood: 3\r\nX-Other: 1\r\n`,
-    expected: { ...NO_NOTICE, unknownHeaders: ['server-mood'] },
+    expected: { ...EMPTY_NOTICE, unknownHeaders: ['server-mood'] },
   },
   {
-    title: 'a limit of another engine at the address',
-    head: `421 Other\r\n${REFUSED}Server-Limit: 1.6\r\n`,
+    title: 'a rate limit of another engine at the address',
+    head: `421 Other\r\n${REJECTED_HEADERS}Server-Limit: 1.6\r\n`,
     expected: undefined,
   },
   {
-    title: 'a success with a time to come back',
+    title: 'a successful response with Retry-After',
     head: `200 OK\r\nX-Peatspan-Attempt-Id: request-1\r\nRetry-After: 3\r\n`,
     expected: undefined,
   },
   {
-    title: 'a refusal of another engine at the address',
-    head: `421 Other\r\n${REFUSED}Server-Leaving: 1\r\n`,
+    title: 'a rejection of another engine at the address',
+    head: `421 Other\r\n${REJECTED_HEADERS}Server-Leaving: 1\r\n`,
     expected: undefined,
   },
 ];
 
 for (const { title, head, expected } of NOTICE_CASES) {
-  test(`what the engine says of itself: ${title}`, async (t) => {
+  test(`engine headers: ${title}`, async (t) => {
     const outcome = await exchangeWith(t, (socket) => {
       socket.write(`HTTP/1.1 ${head}Content-Length: 0\r\n\r\n`);
     });
--- a/test/platform/formats.test.ts
+++ b/test/platform/formats.test.ts
@@ -1,4 +1,4 @@
-/** The platform's objects in the product's words. */
+/** Guards against misread rate limits of tenants in the platform's configuration. */
 import test from 'ava';
 import { platformDecoder } from '../../platform/formats.js';
 import { QuotaUnit } from '../../src/state/routing/quota/tenant-limit.js';
@@ -21,7 +21,7 @@
   return decoded.kind === 'value' ? decoded.value.tenants?.[0]?.limit : decoded;
 }
 
-test('the limit of a tenant is read whole', (t) => {
+test('all fields of a tenant limit are decoded', (t) => {
   const fields = { unit: 'tokens', rate_per_s: 466_712, burst: 1_000, plain_tokens: 200 };
   t.deepEqual(limitWith(fields), {
     unit: QuotaUnit.Tokens,
@@ -31,7 +31,7 @@
   });
 });
 
-test('a rate that is absent or 0 is no limit', (t) => {
+test('an absent or zero rate means no limit', (t) => {
   t.is(limitWith({}), undefined);
   t.is(limitWith({ rate_per_s: 0, burst: 10 }), undefined);
 });
@@ -40,7 +40,7 @@
   t.like(limitWith({ rate_per_s: 5 }), { unit: QuotaUnit.Requests, ratePerSecond: 5, burst: 0 });
 });
 
-test('a limit that can not be read makes the configuration malformed, and says where', (t) => {
+test('an invalid limit makes the configuration malformed and names the field', (t) => {
   for (const fields of [{ rate_per_s: '5' }, { rate_per_s: -1 }, { burst: null }, { unit: 'x' }]) {
     const decoded = configurationWith(fields);
     t.is(decoded.kind, 'malformed');
--- a/test/platform/json-call.test.ts
+++ b/test/platform/json-call.test.ts
@@ -1,32 +1,32 @@
-/** Calls over kept connections, some of which have gone silent. */
+/** Guards against repeated timeouts on idle connections that no longer respond. */
 import { createServer } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import test from 'ava';
-import { JsonCaller } from '../../platform/json-call.js';
+import { JsonClient } from '../../platform/json-call.js';
 
-const ANSWER_MS = 20;
+const RESPONSE_DELAY_MS = 20;
 const TIMEOUT_MS = 400;
-const KEPT_CONNECTIONS = 4;
+const POOLED_CONNECTIONS = 4;
 
-test('after a call on a connection that has gone silent the next one takes a new connection', async (t) => {
-  const silent = new Set<Socket>();
+test('after a timeout, the next request opens a new connection', async (t) => {
+  const unresponsive = new Set<Socket>();
   const seen = new Set<Socket>();
   const server = createServer((request, response) => {
     seen.add(request.socket);
-    if (!silent.has(request.socket)) setTimeout(() => response.end('{}'), ANSWER_MS);
+    if (!unresponsive.has(request.socket)) setTimeout(() => response.end('{}'), RESPONSE_DELAY_MS);
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
-  const caller = new JsonCaller(`127.0.0.1:${port}`);
+  const client = new JsonClient(`127.0.0.1:${port}`);
   t.teardown(() => {
-    caller.close();
+    client.close();
     for (const socket of seen) socket.destroy();
     server.close();
   });
-  const call = () => caller.call({ method: 'GET', path: '/', timeoutMs: TIMEOUT_MS });
-  await Promise.all(Array.from({ length: KEPT_CONNECTIONS }, call));
-  for (const socket of seen) silent.add(socket);
+  const call = () => client.call({ method: 'GET', path: '/', timeoutMs: TIMEOUT_MS });
+  await Promise.all(Array.from({ length: POOLED_CONNECTIONS }, call));
+  for (const socket of seen) unresponsive.add(socket);
   await t.throwsAsync(call());
-  const answer = await call();
-  t.is(answer.status, 200);
+  const response = await call();
+  t.is(response.status, 200);
 });
--- a/test/platform/listener-check.test.ts
+++ b/test/platform/listener-check.test.ts
@@ -1,10 +1,10 @@
-/** What an attempt to connect to an address shows. */
+/** Guards against wrong detection of stopped engines. */
 import { type AddressInfo, createServer } from 'node:net';
 import test from 'ava';
 import { checkListener } from '../../platform/listener-check.js';
 import { ListenerState } from '../../src/protocol/inference/port.js';
 
-test('an address is listening while somebody accepts connections there, refused after', async (t) => {
+test('an address is listening while a server accepts connections, and refused afterwards', async (t) => {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
--- a/test/platform/metrics.test.ts
+++ b/test/platform/metrics.test.ts
@@ -1,11 +1,11 @@
-/** The metrics page: totals of tenants with limits, under a bounded number of names. */
+/** Guards against an unbounded number of tenant labels on the metrics page. */
 import test from 'ava';
 import { renderMetrics } from '../../platform/metrics.js';
 import type { GatewayNode } from '../../src/coordination/gateway/gateway-node.js';
 import { GatewayStatistics } from '../../src/coordination/gateway/gateway-statistics.js';
 import { MAXIMUM_NAMED_TENANTS } from '../../src/coordination/gateway/quota/tenant-totals.js';
 
-test('charges are shown by tenant, those of many tenants under one name', async (t) => {
+test('quota totals are reported per tenant, and under one label beyond the maximum', async (t) => {
   const statistics = new GatewayStatistics();
   const node = { statistics, runningCalls: 0 } as unknown as GatewayNode;
   const { quotaByTenant } = statistics;
--- a/test/platform/object-store-client.test.ts
+++ b/test/platform/object-store-client.test.ts
@@ -1,4 +1,4 @@
-/** The client of the platform's store against a small stand-in over HTTP on loopback. */
+/** Guards against wrong use of store responses: pages, watches, conflicts, errors and eras. */
 import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import test, { type ExecutionContext } from 'ava';
@@ -14,25 +14,25 @@
   readonly body: string;
 }
 
-type Answer = (
+type Handler = (
   call: Call,
 ) => { status: number; headers?: Record<string, string>; body?: unknown } | undefined;
 
-/** Serves calls with a function; a call without an answer has its connection broken. */
-async function storeWith(t: ExecutionContext, answer: Answer): Promise<ObjectStoreClient> {
+/** Serves requests with a handler; resets the connection if it returns undefined. */
+async function clientOfStore(t: ExecutionContext, handle: Handler): Promise<ObjectStoreClient> {
   const server = createServer((request: IncomingMessage, response: ServerResponse) => {
     let body = '';
     request.on('data', (chunk: Buffer) => (body += chunk.toString()));
     request.on('end', () => {
       const url = new URL(request.url ?? '/', 'http://store');
-      const answered = answer({ method: request.method ?? '', url, body });
-      if (!answered) {
+      const reply = handle({ method: request.method ?? '', url, body });
+      if (!reply) {
         request.socket.resetAndDestroy();
         return;
       }
-      const headers = { 'content-type': 'application/json', ...answered.headers };
-      response.writeHead(answered.status, headers);
-      response.end(answered.body === undefined ? '' : JSON.stringify(answered.body));
+      const headers = { 'content-type': 'application/json', ...reply.headers };
+      response.writeHead(reply.status, headers);
+      response.end(reply.body === undefined ? '' : JSON.stringify(reply.body));
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -48,8 +48,8 @@
   return { metadata: { name, revision, made: 1, finalizers: [], deleting: false }, spec };
 }
 
-test('a list of several pages is read from the revision of its first', async (t) => {
-  const client = await storeWith(t, ({ url }) => {
+test('a list of several pages has the revision of the first page', async (t) => {
+  const client = await clientOfStore(t, ({ url }) => {
     const isFirst = url.searchParams.get('after') === null;
     const items = isFirst ? [object('a', 1), object('b', 2)] : [object('c', 9)];
     return { status: 200, body: { items, more: isFirst, at: isFirst ? 5 : 9 } };
@@ -62,8 +62,8 @@
   t.deepEqual(list.position, positionAt(5));
 });
 
-test('a watch tells changes, removals and lost history', async (t) => {
-  const client = await storeWith(t, ({ url }) => {
+test('a watch reports changes, removals and lost history', async (t) => {
+  const client = await clientOfStore(t, ({ url }) => {
     if (url.searchParams.get('watch') === '1') return { status: 410 };
     const events = [
       { gone: false, object: object('a', 6) },
@@ -85,9 +85,9 @@
   t.deepEqual(result.position, positionAt(7));
 });
 
-test('a write names the revision it replaces and a conflict shows the object', async (t) => {
+test('a write contains the replaced revision, and a conflict returns the current object', async (t) => {
   const calls: Call[] = [];
-  const client = await storeWith(t, (call) => {
+  const client = await clientOfStore(t, (call) => {
     calls.push(call);
     return { status: 409, body: object('lease', 12, { holder: 'other' }) };
   });
@@ -98,23 +98,23 @@
   t.is(JSON.parse(calls[0]?.body ?? '').metadata.revision, 11);
 });
 
-test('a call without an answer or with a refusal rejects', async (t) => {
-  const silent = await storeWith(t, () => undefined);
-  await t.throwsAsync(() => silent.list('config', ListFreshness.Current));
-  const busy = await storeWith(t, () => ({ status: 503 }));
+test('a request without a response, with an error status or with an invalid body rejects', async (t) => {
+  const unresponsive = await clientOfStore(t, () => undefined);
+  await t.throwsAsync(() => unresponsive.list('config', ListFreshness.Current));
+  const busy = await clientOfStore(t, () => ({ status: 503 }));
   await t.throwsAsync(() => busy.read('config', 'main'));
-  const garbled = await storeWith(t, () => ({ status: 200, body: { items: 'none' } }));
-  await t.throwsAsync(() => garbled.list('config', ListFreshness.Current));
+  const malformed = await clientOfStore(t, () => ({ status: 200, body: { items: 'none' } }));
+  await t.throwsAsync(() => malformed.list('config', ListFreshness.Current));
 });
 
-test('an object that is not there is told as such', async (t) => {
-  const client = await storeWith(t, () => ({ status: 404 }));
+test('a missing object is reported as missing', async (t) => {
+  const client = await clientOfStore(t, () => ({ status: 404 }));
   const era = StoreEra.None;
   t.deepEqual(await client.read('leases', 'lease'), { era, object: undefined });
   t.deepEqual(await client.replace('leases', 'lease', {}, positionAt(1)), { kind: 'missing', era });
 });
 
-test('the configuration is decoded into the words of the product, other objects are not', (t) => {
+test('the active configuration is decoded, others are unused', (t) => {
   const spec = {
     version: 7,
     routes: [
@@ -161,7 +161,7 @@
   t.deepEqual(draft, { kind: 'unused' });
 });
 
-test('an object that is not of the agreed form is told with the field at fault', (t) => {
+test('a malformed object is reported with the invalid field', (t) => {
   const configuration = platformDecoder.configuration({
     name: 'main',
     position: positionAt(1),
@@ -174,12 +174,14 @@
   if (engine.kind === 'malformed') t.regex(engine.reason, /^address: /);
 });
 
-/** The store's answers carry these eras, one each, or none. */
-async function storeOfEras(
+/**
+ * Creates a client of a store whose responses have these eras in turn; undefined omits the header.
+ */
+async function clientOfStoreWithEras(
   t: ExecutionContext,
   eras: (string | undefined)[],
 ): Promise<ObjectStoreClient> {
-  return storeWith(t, ({ url, method }) => {
+  return clientOfStore(t, ({ url, method }) => {
     const era = eras.shift();
     const headers = era === undefined ? {} : { 'Store-Era': era };
     if (method === 'PUT') return { status: 200, headers, body: object('lease', 8) };
@@ -189,19 +191,19 @@
   });
 }
 
-test('positions carry the era that the store tells', async (t) => {
-  const client = await storeOfEras(t, ['3', '4', '4']);
+test('positions contain the era of the store', async (t) => {
+  const client = await clientOfStoreWithEras(t, ['3', '4', '4']);
   const list = await client.list('servers', ListFreshness.Current);
   t.deepEqual(list.position, positionAt(7, 3));
   t.deepEqual(list.objects[0]?.position, positionAt(3, 3));
-  // The store was restored meanwhile and has given the revision out again.
+  // The store was restored in between and has reused the revision.
   t.deepEqual(await client.watch('servers', list.position, 100), { kind: 'history-gone' });
   const written = await client.replace('leases', 'lease', {}, positionAt(7, 3));
   t.like(written, { kind: 'written', era: 4, object: { position: positionAt(8, 4) } });
 });
 
-test('a store that tells eras gives no answer without one that can be read', async (t) => {
-  const client = await storeOfEras(t, [undefined, '2', undefined, 'many', '2']);
+test('after a response with an era, responses without a valid era are rejected', async (t) => {
+  const client = await clientOfStoreWithEras(t, [undefined, '2', undefined, 'many', '2']);
   const before = await client.list('servers', ListFreshness.Current);
   t.deepEqual(before.position, positionAt(7));
   const first = await client.list('servers', ListFreshness.Current);
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -1,9 +1,9 @@
-/** The platform's settings file: what is required, what is passed over, how faults are told. */
+/** Guards against misread settings, unclear errors, and timeouts that exceed the bounds. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import test from 'ava';
-import { WATCH_SLACK_MS } from '../../platform/object-store-client.js';
+import { WATCH_RESPONSE_MARGIN_MS } from '../../platform/object-store-client.js';
 import {
   checkSettings,
   gatewaySettingsOf,
@@ -28,7 +28,7 @@
   a_field_of_tomorrow: true,
 };
 
-test('unknown fields are passed over and bounds become the product’s settings', (t) => {
+test('unknown fields are ignored and bounds are converted to router settings', (t) => {
   const settings = gatewaySettingsOf(checkSettings('node.json', SETTINGS));
   t.is(settings.gossipAddress, '10.1.0.30:7340');
   t.deepEqual(settings.seeds, ['10.2.0.22:7340']);
@@ -36,7 +36,7 @@
   t.is(settings.retryBudget.windowMs, 10_000);
 });
 
-test('every fault is told in one line', (t) => {
+test('all issues are reported in one line', (t) => {
   const broken = { ...SETTINGS, zone: 7, platform: { address: 'nowhere' }, bounds: {} };
   const error = t.throws(() => checkSettings('node.json', broken));
   for (const name of ['node.json', 'zone', 'platform.address', 'bounds.retry_window_s']) {
@@ -45,7 +45,7 @@
   t.false(error.message.includes('\n'));
 });
 
-test('a file that is not there or not JSON is told by its name', (t) => {
+test('the error for a missing or invalid file contains its name', (t) => {
   t.throws(() => readSettings('/nowhere/node.json'), { message: /\/nowhere\/node\.json/ });
   const folder = mkdtempSync(path.join(tmpdir(), 'settings-'));
   t.teardown(() => rmSync(folder, { recursive: true }));
@@ -54,13 +54,13 @@
   t.throws(() => readSettings(file), { message: /node\.json/ });
 });
 
-test('metrics are served where the settings name a port and a path', (t) => {
+test('the metrics address is derived from the configured port and path', (t) => {
   t.is(metricsAddressOf(checkSettings('f', SETTINGS)), undefined);
   const settings = checkSettings('f', { ...SETTINGS, metrics: '8790/figures' });
   t.deepEqual(metricsAddressOf(settings), { address: '10.1.0.30:8790', path: '/figures' });
 });
 
-test('a router that has just started gives old weights up before it is judged by them', (t) => {
+test('a router that has just started stops using replaced weights within the contact time', (t) => {
   const MARGIN_MS = 700;
   for (const bounds of [
     { version_ms: 8_000, contact_ms: 3_000 },
@@ -68,16 +68,16 @@
   ]) {
     const value = { ...SETTINGS, bounds: { ...SETTINGS.bounds, ...bounds } };
     const { rollout, unseenVersionAgeMs } = gatewaySettingsOf(checkSettings('node.json', value));
-    // Whenever the version was named before the start: what is sent by then begins within the margin.
+    // Requests sent by then start within the margin, whenever the version was published.
     t.true(rollout.graceMs - unseenVersionAgeMs + MARGIN_MS <= bounds.contact_ms);
   }
 });
 
-test('a silent connection to the store shows before a router is held to its bounds again', (t) => {
+test('a dead connection to the store is detected within the contact time', (t) => {
   const settings = gatewaySettingsOf(checkSettings('node.json', SETTINGS));
   const CONTACT_MS = 3_000;
-  t.true(settings.engineWatchMs + WATCH_SLACK_MS < CONTACT_MS);
-  t.true(settings.configurationWatchMs + WATCH_SLACK_MS < CONTACT_MS);
-  // Half of the time that weights named meanwhile may be used is left for their rollout.
-  t.true(settings.versionWatchMs + WATCH_SLACK_MS < settings.rollout.graceMs * 0.55);
+  t.true(settings.engineWatchMs + WATCH_RESPONSE_MARGIN_MS < CONTACT_MS);
+  t.true(settings.configurationWatchMs + WATCH_RESPONSE_MARGIN_MS < CONTACT_MS);
+  // About half of the grace period is left for the rollout of weights published meanwhile.
+  t.true(settings.versionWatchMs + WATCH_RESPONSE_MARGIN_MS < settings.rollout.graceMs * 0.55);
 });
