--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,34 +1,34 @@
-/** Time as seen by a node. Injected, so that tests and experiments drive it. */
+/** Clock interface of a node. Injected, so that tests and experiments control time. */
 import { ElapsedInstant } from './elapsed-instant.js';
 import { type ClockJump, SuspensionMeter } from './suspension-meter.js';
 
 /** A pending callback. */
 export interface Timer {
-  /** Prevents the callback; harmless after it ran. */
+  /** Prevents the callback. No effect after it ran. */
   cancel(): void;
 }
 
 /** Time and timers, in milliseconds. */
 export interface Clock {
   /**
-   * Steady time since an arbitrary start; never goes back, and stands still while the machine is
-   * suspended, as timers do. For durations, and for waiting until others have lost a right.
+   * Monotonic time since an arbitrary start. Like timers, it doesn't advance while the machine is
+   * suspended. For durations, and for waiting until the rights of other nodes have expired.
    */
   now(): number;
   /**
-   * The moment on the clock that counts suspensions. For what this process may still rely on: proofs of
-   * what is current, and its own leases.
+   * Time on a clock that also counts suspensions. For expiry of what this process relies on: proofs
+   * of current state and its own leases.
    */
   elapsed(): ElapsedInstant;
-  /** Milliseconds since 1970, as far as this machine's clock is right; may step. */
+  /** Wall-clock time in Unix milliseconds; may step. */
   wallNow(): number;
   /** Runs the callback once after `delayMs`. */
   setTimer(delayMs: number, callback: () => void): Timer;
 }
 
-/** The clock of the machine, from `performance.now`, `Date.now` and the event loop's timers. */
+/** The system clock, based on `performance.now`, `Date.now` and timers of the event loop. */
 export class SystemClock implements Clock {
-  /** Called soon after the machine was suspended, or its time of day was set. */
+  /** Called after the machine was suspended or its wall clock was set. */
   onJump: (jump: ClockJump) => void = () => undefined;
   private readonly meter = new SuspensionMeter(
     { steadyMs: () => performance.now(), wallMs: () => Date.now() },
--- a/src/runtime/elapsed-instant.ts
+++ b/src/runtime/elapsed-instant.ts
@@ -1,19 +1,19 @@
 /**
- * A moment on the clock that counts suspensions of the machine. It has its own type, so that it can't be
- * compared with a moment on the steady clock, which stands still while the machine is suspended.
+ * An instant on a clock that counts suspensions of the machine. A type of its own, so that it can't
+ * be compared with monotonic time, which doesn't advance while the machine is suspended.
  */
 export class ElapsedInstant {
-  /** Earlier than every moment. */
+  /** Earlier than every other instant. */
   static readonly never = new ElapsedInstant(-Infinity);
 
   constructor(private readonly ms: number) {}
 
-  /** Milliseconds that passed since `earlier`; Infinity where that is {@link never}. */
+  /** Milliseconds since `earlier`; Infinity if that is {@link never}. */
   since(earlier: ElapsedInstant): number {
     return earlier.ms === -Infinity ? Infinity : this.ms - earlier.ms;
   }
 
-  /** The moment so many milliseconds later. */
+  /** The instant `durationMs` later. */
   plus(durationMs: number): ElapsedInstant {
     return new ElapsedInstant(this.ms + durationMs);
   }
@@ -22,7 +22,7 @@
     return this.ms < other.ms;
   }
 
-  /** The later one of two. */
+  /** The later of the two instants. */
   latest(other: ElapsedInstant): ElapsedInstant {
     return this.isBefore(other) ? other : this;
   }
--- a/src/runtime/hasher.ts
+++ b/src/runtime/hasher.ts
@@ -3,9 +3,9 @@
 
 /** Non-cryptographic 64-bit hashes (XXH64). */
 export interface Hasher {
-  /** Hash of bytes under a seed. */
+  /** Hash of bytes with a seed. */
   hashBytes(bytes: Uint8Array, seed: bigint): bigint;
-  /** Hash of a text's UTF-8 bytes under a seed. */
+  /** Hash of the UTF-8 bytes of a text with a seed. */
   hashText(text: string, seed: bigint): bigint;
 }
 
@@ -16,7 +16,7 @@
   return { hashBytes: h64Raw, hashText: h64 };
 }
 
-/** Loads the hash function. It holds no state of a node, so one instance serves a process. */
+/** Loads the hash function. It is stateless, so the process shares one instance. */
 export function createHasher(): Promise<Hasher> {
   shared ??= loadHasher();
   return shared;
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,9 +1,9 @@
-/** The logging interface of all layers: an event name and typed fields. */
+/** Structured logging: an event name and typed fields. */
 
-/** Fields of a log line, in order. Never a key or prompt text. */
+/** Fields of a log line, in order. Must not contain API keys or prompt text. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes one line an event. */
+/** Writes one line per event. */
 export interface Logger {
   debug(event: string, fields?: LogFields): void;
   info(event: string, fields?: LogFields): void;
@@ -11,7 +11,7 @@
   error(event: string, fields?: LogFields): void;
 }
 
-/** Drops every event, for tests and hollow nodes. */
+/** Discards every event, for tests and simulated nodes. */
 export class SilentLogger implements Logger {
   debug(): void {}
   info(): void {}
--- a/src/runtime/pause-detector.ts
+++ b/src/runtime/pause-detector.ts
@@ -1,32 +1,32 @@
 /**
- * Detects whether the process has stood still lately, frozen or without a turn on its processor. What it
- * reads just after such a pause may have waited in the buffers of its sockets, so it shows nothing of the
- * present. Pure; it must be called several times within {@link PAUSE_MS}.
+ * Detects pauses of the process, such as a frozen container or CPU throttling. Data read just after
+ * a pause may have been buffered in the sockets, so it says nothing about the current state of its
+ * sender. Must be called several times within {@link PAUSE_MS}.
  */
 
-/** A longer gap between two looks at the clock is a pause: five of the checks that the group runs. */
+/** A longer gap between two calls is a pause: five check intervals of the group. */
 export const PAUSE_MS = 500;
-/** After a pause the buffers are read empty within this time. */
-const SETTLING_MS = 250;
+/** Time after a pause within which buffered data has been read. */
+const RECOVERY_MS = 250;
 
-/** Watches the time that passes between calls. */
+/** Observes the time between calls. */
 export class PauseDetector {
   private lastMs: number;
-  private settledMs = -Infinity;
+  private resumedMs = -Infinity;
 
   constructor(nowMs: number) {
     this.lastMs = nowMs;
   }
 
-  /** Takes note that the process runs now. */
+  /** Records that the process is running now. */
   note(nowMs: number): void {
-    if (nowMs - this.lastMs > PAUSE_MS) this.settledMs = nowMs + SETTLING_MS;
+    if (nowMs - this.lastMs > PAUSE_MS) this.resumedMs = nowMs + RECOVERY_MS;
     this.lastMs = nowMs;
   }
 
-  /** Whether what is read now was sent lately. */
+  /** Whether data read now is recent, not buffered during a pause. */
   isSettled(nowMs: number): boolean {
     this.note(nowMs);
-    return nowMs >= this.settledMs;
+    return nowMs >= this.resumedMs;
   }
 }
--- a/src/runtime/random.ts
+++ b/src/runtime/random.ts
@@ -1,4 +1,4 @@
-/** Randomness as seen by a node. Injected, so that a seed repeats a run. */
+/** Random numbers of a node. Injected, so that a run can be repeated with its seed. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 /** A source of uniform random numbers. */
@@ -22,7 +22,7 @@
   }
 }
 
-/** The generator of the platform, for daemons. */
+/** The generator of the JavaScript runtime, for daemons. */
 export class SystemRandom implements RandomSource {
   next(): number {
     return Math.random();
@@ -34,7 +34,7 @@
   return Math.floor(random.next() * bound);
 }
 
-/** One element, or undefined where there is none. */
+/** A random element, or undefined if there is none. */
 export function randomElement<T>(random: RandomSource, elements: readonly T[]): T | undefined {
   return elements[randomInteger(random, elements.length)];
 }
--- a/src/runtime/store-position.ts
+++ b/src/runtime/store-position.ts
@@ -1,24 +1,26 @@
 /**
- * A position in the history of the platform's store. The store may come back from an older copy of itself: then its
- * revisions go back and are given out again, and its era rises. So only era and revision together order its answers;
- * they have their own type, so that a bare revision can't be compared.
+ * A position in the history of the platform's store. When the store is restored from an older copy,
+ * its revisions go back and are reused, and its era is incremented. So its responses are ordered by
+ * era and revision together, in a type of their own, so that bare revisions can't be compared.
  */
 
-/** Eras that are no number of the store's own. */
+/** Eras that are not sent by the store. */
 export const StoreEra = {
-  /** Of what a router reports whose build has no eras: before every other, so that it replaces nothing. */
+  /**
+   * Reported by a router whose build has no eras. Before all others, so that it replaces nothing.
+   */
   Unknown: -1,
-  /** The store has none: it never goes back. */
+  /** The store has no eras and is never restored. */
   None: 0,
 } as const;
 
-/** Where the store stood, or where an object changed last. */
+/** The position of the store, or of the last change of an object. */
 export class StorePosition {
-  /** Before every position that an answer shows. */
+  /** Before every position in a response. */
   static readonly start = new StorePosition(StoreEra.Unknown, 0);
 
   /**
-   * @param era rises by one each time that the store comes back from an older copy of itself
+   * @param era incremented each time the store is restored from an older copy
    * @param revision counts the changes of all objects within an era
    */
   constructor(
@@ -34,7 +36,7 @@
     return this.era === other.era && this.revision === other.revision;
   }
 
-  /** The later one of two. */
+  /** The later of the two positions. */
   latest(other: StorePosition): StorePosition {
     return this.isBefore(other) ? other : this;
   }
--- a/src/runtime/suspension-meter.ts
+++ b/src/runtime/suspension-meter.ts
@@ -1,39 +1,37 @@
 /**
- * Counts the time in which the machine was suspended. A suspension stops the steady clock and every timer,
- * while the time of day goes on: what shows it is that the time of day has run ahead of the steady clock.
+ * Measures the time in which the machine was suspended. A suspension stops the monotonic clock and
+ * all timers, but not the wall clock, so it is detected by the wall clock running ahead of the
+ * monotonic clock.
  *
- * A time of day that was set forward looks the same, and a Node.js process has no third clock to tell them
- * apart: `os.uptime` reads a file that some machines share with others. So a step forward counts as time
- * that may have passed. What is decided by that time errs to the safe side: trust ends early and is
- * renewed by one call. A step backward never takes time back.
+ * Setting the wall clock forward looks the same, and Node.js has no third clock to distinguish the
+ * two: `os.uptime` may be shared between containers. So a forward step counts as elapsed time. This
+ * is safe, because proofs and leases then expire early and are renewed by one request. A backward
+ * step is ignored.
  */
 
 /** The two clocks, in milliseconds. */
 export interface TimeSources {
-  /** Never steps; stands still while the machine is suspended. */
+  /** Monotonic time; doesn't advance while the machine is suspended. */
   steadyMs(): number;
-  /** Goes on in a suspension, and steps when it is set. */
+  /** Wall-clock time; advances during a suspension, and steps when it is set. */
   wallMs(): number;
 }
 
-/** A jump that was noticed. */
+/** A detected jump of the wall clock relative to the monotonic clock. */
 export interface ClockJump {
-  /** By how much the time of day ran ahead of the steady clock, or fell behind it where negative. */
+  /** How far the wall clock moved ahead of the monotonic clock; negative if it fell behind. */
   readonly aheadMs: number;
 }
 
-/**
- * Smaller differences are the two clocks' own rates. A proof of the configuration keeps 8% of its bound of
- * some seconds in hand, which is more.
- */
+/** Smaller differences are clock drift; the expiry of configuration proofs has a larger margin. */
 export const SHORTEST_JUMP_MS = 200;
 
-/** The meter of one process. */
+/** Measures elapsed time, including suspensions, in one process. */
 export class SuspensionMeter {
   private aheadMs: number;
-  private countedMs = 0;
+  private suspendedMs = 0;
 
-  /** @param onJump called within {@link passedMs}, so it must only take note */
+  /** @param onJump called within {@link passedMs}, so it must only record the jump */
   constructor(
     private readonly sources: TimeSources,
     private readonly onJump: (jump: ClockJump) => void,
@@ -41,15 +39,15 @@
     this.aheadMs = sources.wallMs() - sources.steadyMs();
   }
 
-  /** Steady time and the time in which the machine may have been suspended; never goes back. */
+  /** Monotonic time plus the time in which the machine may have been suspended; never goes back. */
   passedMs(): number {
     const steadyMs = this.sources.steadyMs();
     const jumpMs = this.sources.wallMs() - steadyMs - this.aheadMs;
     if (Math.abs(jumpMs) >= SHORTEST_JUMP_MS) {
       this.aheadMs += jumpMs;
-      this.countedMs += Math.max(0, jumpMs);
+      this.suspendedMs += Math.max(0, jumpMs);
       this.onJump({ aheadMs: jumpMs });
     }
-    return steadyMs + this.countedMs;
+    return steadyMs + this.suspendedMs;
   }
 }
--- a/src/runtime/tokens.ts
+++ b/src/runtime/tokens.ts
@@ -1,4 +1,4 @@
-/** Injection tokens of what a node takes from its surroundings. */
+/** Dependency injection tokens for the external services of a node. */
 export const HASHER = Symbol('Hasher');
 export const CLOCK = Symbol('Clock');
 export const RANDOM = Symbol('RandomSource');
--- a/src/runtime/virtual-clock.ts
+++ b/src/runtime/virtual-clock.ts
@@ -1,28 +1,28 @@
-/** A clock whose time moves only when told, for tests and experiments. */
+/** A clock that is advanced explicitly, for tests and experiments. */
 import type { Clock, Timer } from './clock.js';
 import { ElapsedInstant } from './elapsed-instant.js';
 
-/** Wall clock time at the virtual start: 2026-01-01. */
+/** Wall-clock time at the virtual start: 2026-01-01. */
 const WALL_START_MS = Date.UTC(2026, 0, 1);
 
-interface Entry {
+interface ScheduledCallback {
   dueMs: number;
-  order: number;
+  sequence: number;
   callback: (() => void) | undefined;
 }
 
-/** Lets all pending promise reactions and immediates run before time moves on. */
-function settle(): Promise<void> {
+/** Runs all pending promise reactions and immediates before time advances. */
+function runPendingTasks(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-/** Timers fire in order of their due time, equal ones in order of creation. */
+/** Timers fire in order of their due time, and in order of creation if that is equal. */
 export class VirtualClock implements Clock {
   private currentMs = 0;
-  private created = 0;
-  private readonly heap: Entry[] = [];
+  private createdTimers = 0;
+  private readonly heap: ScheduledCallback[] = [];
 
   now(): number {
     return this.currentMs;
@@ -37,9 +37,9 @@
   }
 
   setTimer(delayMs: number, callback: () => void): Timer {
-    this.created += 1;
+    this.createdTimers += 1;
     const dueMs = this.currentMs + Math.max(0, delayMs);
-    const entry: Entry = { dueMs, order: this.created, callback };
+    const entry: ScheduledCallback = { dueMs, sequence: this.createdTimers, callback };
     this.push(entry);
     return {
       cancel: () => {
@@ -48,21 +48,21 @@
     };
   }
 
-  /** Runs everything due within `durationMs`, then stands at the end of that span. */
+  /** Runs all callbacks due within `durationMs`, then sets the time to the end of that period. */
   async advance(durationMs: number): Promise<void> {
     const endMs = this.currentMs + durationMs;
-    await settle();
+    await runPendingTasks();
     for (let entry = this.heap[0]; entry && entry.dueMs <= endMs; entry = this.heap[0]) {
       this.pop();
       if (!entry.callback) continue;
       this.currentMs = Math.max(this.currentMs, entry.dueMs);
       entry.callback();
-      await settle();
+      await runPendingTasks();
     }
     this.currentMs = endMs;
   }
 
-  /** Advances in steps until the condition holds; answers whether it did within `limitMs`. */
+  /** Advances in steps until the condition holds; returns whether it did within `limitMs`. */
   async advanceUntil(condition: () => boolean, limitMs: number, stepMs = 10): Promise<boolean> {
     const endMs = this.currentMs + limitMs;
     while (!condition()) {
@@ -72,13 +72,13 @@
     return true;
   }
 
-  private push(entry: Entry): void {
+  private push(entry: ScheduledCallback): void {
     const heap = this.heap;
     let index = heap.length;
     heap.push(entry);
     while (index > 0) {
       const parentIndex = (index - 1) >> 1;
-      const parent = heap[parentIndex] as Entry;
+      const parent = heap[parentIndex] as ScheduledCallback;
       if (!isBefore(entry, parent)) break;
       heap[index] = parent;
       index = parentIndex;
@@ -106,6 +106,6 @@
   }
 }
 
-function isBefore(left: Entry, right: Entry): boolean {
-  return left.dueMs < right.dueMs || (left.dueMs === right.dueMs && left.order < right.order);
+function isBefore(left: ScheduledCallback, right: ScheduledCallback): boolean {
+  return left.dueMs < right.dueMs || (left.dueMs === right.dueMs && left.sequence < right.sequence);
 }
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,10 +1,10 @@
-/** Reads a YAML settings file, lays flags over it and checks the whole. */
+/** Reads a YAML settings file, applies overrides from flags, and validates the result. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'yaml';
 import type { z } from 'zod';
 import { SettingsError } from './settings-error.js';
 
-/** Values from flags, by path in the settings (`listen.peer`); undefined ones are not given. */
+/** Values from flags, by path in the settings (`listen.peer`); undefined ones are ignored. */
 export type SettingsOverrides = Readonly<Record<string, string | number | undefined>>;
 
 const FLAGS_SOURCE = 'flags';
@@ -24,7 +24,7 @@
   }
 }
 
-/** Loads settings from a file, or from flags alone; throws a `SettingsError`. */
+/** Loads settings from a file and flags, or from flags alone; throws a `SettingsError`. */
 export function loadSettings<Schema extends z.ZodType>(
   schema: Schema,
   file: string | undefined,
@@ -38,7 +38,7 @@
   return checkSettings(schema, applyOverrides(base ?? {}, overrides), source);
 }
 
-/** Checks a parsed value; throws a `SettingsError` for its first fault. */
+/** Validates a parsed value; throws a `SettingsError` for the first issue. */
 export function checkSettings<Schema extends z.ZodType>(
   schema: Schema,
   value: unknown,
--- a/src/settings/schemas.ts
+++ b/src/settings/schemas.ts
@@ -1,9 +1,9 @@
-/** Shapes of the settings files of all programs (docs/OPERATORS.md, "Settings"). */
+/** Schemas of the settings files of all programs (docs/OPERATORS.md, "Settings"). */
 import { z } from 'zod';
 
 const ADDRESS_PATTERN = /^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/;
 
-/** `HOST:PORT` with an IP number. */
+/** `HOST:PORT` with an IP address as host. */
 export const addressSchema = z
   .string()
   .regex(ADDRESS_PATTERN, 'expected an IP number and a port, as in 127.0.0.1:7100');
@@ -43,7 +43,7 @@
   log_level: logLevelSchema.default('info'),
 });
 
-/** Speeds and faults of a stand-in engine; all optional. */
+/** Speed and faults of a simulated engine; all optional. */
 export const engineModelSchema = z.strictObject({
   prefill_tokens_per_second: z.number().positive().optional(),
   prefill_chunk_tokens: z.number().int().positive().optional(),
@@ -83,18 +83,18 @@
 export const platformSettingsSchema = z.strictObject({
   listen: z.strictObject({ http: addressSchema }),
   machine_list_lag_ms: z.number().min(0).default(1_000),
-  /** Templates file written as the first version of the configuration. */
+  /** Templates file that becomes the first version of the configuration. */
   templates: z.string().optional(),
-  /** Deployment file whose machines are put on the list. */
+  /** Deployment file whose machines are added to the machine list. */
   deployment: z.string().optional(),
   log_level: logLevelSchema.default('info'),
 });
 
-/** A deployment of stand-ins, routers and agents, for `peatspan lab up` and experiments. */
+/** A deployment of simulated engines, routers and agents, for `peatspan lab up` and experiments. */
 export const deploymentSchema = z.strictObject({
   name,
   region: name,
-  /** Zone to site. */
+  /** Zones and their sites. */
   zones: z.record(name, z.strictObject({ site: name })),
   routers: z.array(z.strictObject({ id: name, zone: name, port: z.number().int() })).min(1),
   agents: z.array(z.strictObject({ id: name, zone: name, port: z.number().int() })).min(1),
@@ -120,7 +120,7 @@
       }),
     )
     .default([]),
-  /** Callers' keys in the clear, for the sample traffic only. */
+  /** Sample traffic; its API keys are in plain text. */
   sample: z.strictObject({
     requests: z.number().int().positive(),
     concurrency: z.number().int().positive(),
@@ -129,9 +129,9 @@
         tenant: name,
         key: z.string().min(1),
         model: name,
-        /** Characters of the beginning that all of the tenant's prompts share. */
+        /** Length of the prefix that all prompts of the tenant share, in characters. */
         shared_characters: z.number().int().min(0),
-        /** Characters of each of the beginnings below it. */
+        /** Length of each branch that follows the shared prefix, in characters. */
         branch_characters: z.number().int().min(0),
         branches: z.number().int().positive(),
         weight: z.number().positive(),
--- a/src/settings/settings-error.ts
+++ b/src/settings/settings-error.ts
@@ -1,6 +1,6 @@
-/** A settings file or flag that can't be used. Ends the start with exit code 2. */
+/** The error for an invalid settings file or flag. The program exits with code 2. */
 
-/** Names the file, the path in it and what was expected, in one line. */
+/** The message states the file, the path in it and the expectation, in one line. */
 export class SettingsError extends Error {
   constructor(
     readonly source: string,
--- a/src/telemetry/bounded-line-writer.ts
+++ b/src/telemetry/bounded-line-writer.ts
@@ -1,37 +1,34 @@
-/** Writes log lines to a file descriptor without ever blocking; drops lines when too many wait. */
+/** Writes log lines to a file descriptor without blocking; drops lines when its buffer is full. */
 import { write, writeSync } from 'node:fs';
 
-/** Writes bytes to a descriptor and calls back; `fs.write`, or a stand-in in tests. */
+/** Writes bytes to a descriptor; `fs.write`, or a fake in tests. */
 export type WriteBytes = (
   descriptor: number,
   bytes: Buffer,
   onDone: (error: Error | null, written: number) => void,
 ) => void;
 
-/** Bytes that may wait; further lines are counted and dropped. */
-const MAXIMUM_WAITING_BYTES = 1_048_576;
+/** Maximum size of the buffer; further lines are counted and dropped. */
+const MAXIMUM_PENDING_BYTES = 1_048_576;
 
 const writeToDescriptor: WriteBytes = (descriptor, bytes, onDone) => {
   write(descriptor, bytes, onDone);
 };
 
-/** Calls back after the time in which lines are gathered; a stand-in in tests. */
+/** Schedules the write of a batch of lines; a fake in tests. */
 export type ScheduleWrite = (onDue: () => void) => void;
 
-/**
- * Lines of this time go out in one write. A write for each line took 18% of a router's main thread
- * under requests (profile of two routers under 460 requests a second).
- */
-const GATHERING_MS = 40;
+/** Lines within this interval are written together, because a write per line is expensive. */
+const BATCH_INTERVAL_MS = 40;
 
-const afterGathering: ScheduleWrite = (onDue) => {
-  setTimeout(onDue, GATHERING_MS).unref();
+const afterBatchInterval: ScheduleWrite = (onDue) => {
+  setTimeout(onDue, BATCH_INTERVAL_MS).unref();
 };
 
-/** One write is under way at a time; what comes meanwhile goes out together with the next. */
+/** Performs one write at a time; lines added meanwhile are written together afterwards. */
 export class BoundedLineWriter {
-  private waiting: Buffer[] = [];
-  private waitingBytes = 0;
+  private pending: Buffer[] = [];
+  private pendingBytes = 0;
   private dropped = 0;
   private isWriting = false;
   private isScheduled = false;
@@ -39,35 +36,38 @@
   constructor(
     private readonly descriptor: number,
     private readonly writeBytes: WriteBytes = writeToDescriptor,
-    private readonly maximumBytes = MAXIMUM_WAITING_BYTES,
-    private readonly schedule: ScheduleWrite = afterGathering,
+    private readonly maximumBytes = MAXIMUM_PENDING_BYTES,
+    private readonly schedule: ScheduleWrite = afterBatchInterval,
   ) {}
 
-  /** Lines dropped and not yet told of. */
+  /** Number of dropped lines that haven't been reported in the log yet. */
   get droppedLines(): number {
     return this.dropped;
   }
 
   writeLine(line: string): void {
     const bytes = Buffer.from(`${line}\n`);
-    if (this.waitingBytes + bytes.length > this.maximumBytes) {
+    if (this.pendingBytes + bytes.length > this.maximumBytes) {
       this.dropped += 1;
       return;
     }
-    this.waiting.push(bytes);
-    this.waitingBytes += bytes.length;
+    this.pending.push(bytes);
+    this.pendingBytes += bytes.length;
     this.scheduleWrite();
   }
 
-  /** Writes what waits before the process ends; what a slow reader does not take is lost. */
+  /**
+   * Writes the buffered lines before the process exits; lines that a slow reader doesn't accept are
+   * lost.
+   */
   flushAtExit(): void {
-    if (this.waiting.length === 0) return;
-    const bytes = Buffer.concat(this.waiting);
-    this.waiting = [];
+    if (this.pending.length === 0) return;
+    const bytes = Buffer.concat(this.pending);
+    this.pending = [];
     try {
       writeSync(this.descriptor, bytes);
     } catch {
-      // The reader is gone or full, and there is no other place to tell it.
+      // The reader has closed or is blocked, and there is no other output for the error.
     }
   }
 
@@ -82,12 +82,12 @@
 
   private writeNext(): void {
     if (this.dropped > 0) {
-      this.waiting.push(Buffer.from(`event=log_lines_dropped count=${this.dropped}\n`));
+      this.pending.push(Buffer.from(`event=log_lines_dropped count=${this.dropped}\n`));
       this.dropped = 0;
     }
-    const bytes = Buffer.concat(this.waiting);
-    this.waiting = [];
-    this.waitingBytes = 0;
+    const bytes = Buffer.concat(this.pending);
+    this.pending = [];
+    this.pendingBytes = 0;
     if (bytes.length === 0) {
       this.isWriting = false;
       return;
@@ -98,7 +98,7 @@
 
   private writeAll(bytes: Buffer): void {
     this.writeBytes(this.descriptor, bytes, (error, written) => {
-      // A reader that is gone can't be told; the lines are lost and the process goes on.
+      // If the reader has closed, the lines are lost and the process continues.
       if (error || written >= bytes.length) this.writeNext();
       else this.writeAll(bytes.subarray(written));
     });
--- a/src/telemetry/console-logger.ts
+++ b/src/telemetry/console-logger.ts
@@ -1,8 +1,8 @@
-/** Logs through consola: one line of key=value pairs an event. */
+/** Logs through consola: one line of key=value pairs per event. */
 import { type ConsolaInstance, LogLevels, createConsola } from 'consola';
 import type { LogFields, Logger } from '../runtime/logger.js';
 
-/** Levels of the settings. */
+/** Log levels in the settings. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
 const LEVELS: Record<LogLevel, number> = {
@@ -19,7 +19,7 @@
 export class ConsoleLogger implements Logger {
   private readonly consola: ConsolaInstance;
 
-  /** @param writeLine takes each line; standard error where none is given */
+  /** @param writeLine receives each line; the default writes to standard error */
   constructor(
     level: LogLevel,
     private readonly nodeId: string,
@@ -62,7 +62,7 @@
   }
 }
 
-/** Quotes a value where a reader could not tell its end. */
+/** Quotes a value that is empty or contains white space, quotes or `=`. */
 export function formatValue(value: string | number | boolean): string {
   const text = String(value);
   return text === '' || NEEDS_QUOTES.test(text) ? JSON.stringify(text) : text;
--- a/src/telemetry/operations-server.ts
+++ b/src/telemetry/operations-server.ts
@@ -1,25 +1,25 @@
-/** The operations port of a daemon: `/metrics`, `/healthz`, `/readyz`. */
+/** The operations server of a daemon: `/metrics`, `/healthz`, `/readyz`. */
 import { HttpStatus } from '../protocol/http-status.js';
 import Hapi from '@hapi/hapi';
 import { Gauge, Registry, collectDefaultMetrics } from 'prom-client';
 import { formatAddress, parseAddress } from '../transport/address.js';
 
-/** A figure shown on the metrics page. */
+/** A metric on the metrics page. */
 export interface Metric {
   readonly name: string;
   readonly help: string;
-  /** Read whenever the page is. */
+  /** Called whenever the page is requested. */
   readonly read: () => number;
 }
 
-/** A running operations port. */
+/** A running operations server. */
 export interface OperationsServer {
-  /** Bound `HOST:PORT`. */
+  /** The bound `HOST:PORT`. */
   readonly address: string;
   stop(): Promise<void>;
 }
 
-/** Starts an operations port. */
+/** Starts an operations server. */
 export async function startOperationsServer(
   address: string,
   metrics: readonly Metric[],
@@ -58,7 +58,7 @@
   };
 }
 
-/** One metric for each counter of a statistics object, `prefix_counter_name`. */
+/** One metric for each counter of a statistics object, named `prefix_counter_name_total`. */
 export function metricsOf(prefix: string, counters: object): Metric[] {
   const record = counters as Record<string, number>;
   return Object.keys(record).map((key) => ({
--- a/src/telemetry/read-metric.ts
+++ b/src/telemetry/read-metric.ts
@@ -1,6 +1,8 @@
-/** Reads one figure of a daemon's metrics page. */
+/** Reads one metric from the metrics page of a daemon. */
 
-/** The figure; NaN where the page has none of that name. Rejects where the page can't be had. */
+/**
+ * Returns the value; NaN if the page doesn't have the metric. Rejects if the page can't be fetched.
+ */
 export async function readMetric(address: string, name: string): Promise<number> {
   const page = await (await fetch(`http://${address}/metrics`)).text();
   const line = page.split('\n').find((each) => each.startsWith(`${name} `));
--- a/src/transport/address.ts
+++ b/src/transport/address.ts
@@ -1,7 +1,7 @@
 /** Addresses in the form `HOST:PORT`. */
 import { TransportFailure } from './errors.js';
 
-/** A host (IP number) and a port. */
+/** A host (IP address) and a port. */
 export interface HostPort {
   readonly host: string;
   readonly port: number;
@@ -9,7 +9,7 @@
 
 const ADDRESS_PATTERN = /^(.+):(\d{1,5})$/;
 
-/** Splits `HOST:PORT`; throws a `bad-address` failure otherwise. */
+/** Splits `HOST:PORT`; throws a `bad-address` failure if the address is invalid. */
 export function parseAddress(address: string): HostPort {
   const match = ADDRESS_PATTERN.exec(address);
   if (!match?.[1] || !match[2]) throw new TransportFailure({ kind: 'bad-address', address });
--- a/src/transport/datagram-transport.ts
+++ b/src/transport/datagram-transport.ts
@@ -1,10 +1,10 @@
-/** Interface of unordered, lossy datagrams. Implementations: UDP, simulated. */
+/** Interface for unordered, unreliable datagrams. Implementations: UDP, simulated. */
 
 /** A bound datagram socket. */
 export interface DatagramSocket {
-  /** The address bound, with the real port where 0 was asked for. */
+  /** The bound address, with the actual port if 0 was requested. */
   readonly address: string;
-  /** Sends without any promise of delivery. */
+  /** Sends a datagram without guaranteed delivery. */
   send(address: string, datagram: Uint8Array): void;
   close(): void;
 }
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,6 +1,6 @@
 /** Errors of the transport layer. */
 
-/** What can go wrong with moving bytes. */
+/** The errors of connections, listeners and frames. */
 export type TransportError =
   | { readonly kind: 'connect-failed'; readonly address: string; readonly reason: string }
   | { readonly kind: 'listen-failed'; readonly address: string; readonly reason: string }
@@ -15,7 +15,7 @@
   }
 }
 
-/** One line for logs. */
+/** Describes the error in one line. */
 export function describeTransportError(error: TransportError): string {
   switch (error.kind) {
     case 'connect-failed':
--- a/src/transport/frame-splitter.ts
+++ b/src/transport/frame-splitter.ts
@@ -1,48 +1,48 @@
 /** Splits a byte stream into frames: a 4-byte big-endian length, then that many bytes. */
 import { TransportFailure } from './errors.js';
 
-/** Bytes of the length before each frame. */
+/** Size of the length prefix of a frame. */
 export const FRAME_HEADER_BYTES = 4;
 
-/** Largest frame accepted: a prompt of 4 MiB and what belongs to it. */
+/** Maximum size of a frame: a prompt of 4 MiB and its metadata. */
 export const MAXIMUM_FRAME_BYTES = 8 * 1024 * 1024;
 
-/** Collects received bytes and hands out whole frames. */
+/** Buffers received bytes and emits complete frames. */
 export class FrameSplitter {
   private pending: Buffer[] = [];
   private pendingBytes = 0;
 
   constructor(private readonly onFrame: (frame: Uint8Array) => void) {}
 
-  /** Takes the next received bytes; throws `frame-too-large`. */
+  /** Processes received bytes; throws a `frame-too-large` failure. */
   push(chunk: Buffer): void {
     if (this.pendingBytes === 0) {
-      this.keep(this.consume(chunk));
+      this.buffer(this.emitFrames(chunk));
       return;
     }
-    this.keep(chunk);
+    this.buffer(chunk);
     if (this.pendingBytes < this.neededBytes()) return;
     const joined = Buffer.concat(this.pending, this.pendingBytes);
     this.pending = [];
     this.pendingBytes = 0;
-    this.keep(this.consume(joined));
+    this.buffer(this.emitFrames(joined));
   }
 
-  private keep(rest: Buffer): void {
+  private buffer(rest: Buffer): void {
     if (rest.length === 0) return;
     this.pending.push(rest);
     this.pendingBytes += rest.length;
   }
 
-  /** Bytes needed before the first pending frame is whole. */
+  /** Number of bytes that complete the first pending frame. */
   private neededBytes(): number {
     const first = this.pending[0];
     if (!first || first.length < FRAME_HEADER_BYTES) return FRAME_HEADER_BYTES;
     return FRAME_HEADER_BYTES + first.readUInt32BE(0);
   }
 
-  /** Hands out all whole frames and returns what is left. */
-  private consume(bytes: Buffer): Buffer {
+  /** Emits all complete frames and returns the remaining bytes. */
+  private emitFrames(bytes: Buffer): Buffer {
     let offset = 0;
     while (bytes.length - offset >= FRAME_HEADER_BYTES) {
       const length = bytes.readUInt32BE(offset);
--- a/src/transport/frame-transport.ts
+++ b/src/transport/frame-transport.ts
@@ -1,28 +1,28 @@
-/** Interface of ordered connections that carry whole frames. Implementations: TCP, simulated. */
+/** Interface for ordered connections that carry frames. Implementations: TCP, simulated. */
 
-/** One end of a connection. Frames arrive whole and in order, or the connection closes. */
+/** One end of a connection. Frames arrive complete and in order, or the connection closes. */
 export interface FrameConnection {
-  /** Address of the other side, for logs. */
+  /** Address of the peer, for logs. */
   readonly remoteAddress: string;
-  /** Queues a frame. False: the send buffer is over its mark, wait for `onDrain`. */
+  /** Queues a frame. Returns false if the send buffer is full; then wait for `onDrain`. */
   send(frame: Uint8Array): boolean;
-  /** Sends what is queued, then closes. */
+  /** Sends the queued frames, then closes. */
   close(): void;
-  /** Closes at once and drops what is queued. */
+  /** Closes immediately and discards the queued frames. */
   destroy(): void;
-  /** Registers the one receiver of frames. */
+  /** Sets the receiver of frames. */
   onFrame(receiver: (frame: Uint8Array) => void): void;
-  /** Registers a callback for the end of the connection; runs once. */
+  /** Registers a callback that runs once when the connection closes. */
   onClose(callback: () => void): void;
-  /** Registers a callback for the send buffer falling below its mark. */
+  /** Registers a callback that runs when the send buffer has drained. */
   onDrain(callback: () => void): void;
 }
 
 /** A listening socket. */
 export interface FrameListener {
-  /** The address bound, with the real port where 0 was asked for. */
+  /** The bound address, with the actual port if 0 was requested. */
   readonly address: string;
-  /** Takes no new connections; open ones stay. */
+  /** Stops accepting connections; open ones are kept. */
   close(): void;
 }
 
--- a/src/transport/tcp-frame-transport.ts
+++ b/src/transport/tcp-frame-transport.ts
@@ -1,14 +1,14 @@
-/** Frames over TCP. Frames queued within one turn of the loop leave in one write. */
+/** Frames over TCP. Frames queued in one iteration of the event loop are sent in one write. */
 import net from 'node:net';
 import { formatAddress, parseAddress } from './address.js';
 import { TransportFailure } from './errors.js';
 import { FRAME_HEADER_BYTES, FrameSplitter } from './frame-splitter.js';
 import type { FrameConnection, FrameListener, FrameTransport } from './frame-transport.js';
 
-/** Bytes queued towards a peer above which `send` answers false. */
-const SEND_BUFFER_MARK_BYTES = 1024 * 1024;
+/** Size of the send buffer from which `send` returns false. */
+const SEND_BUFFER_HIGH_WATER_MARK_BYTES = 1024 * 1024;
 
-/** Time a connection may take to open. */
+/** Maximum time to open a connection. */
 const CONNECT_TIMEOUT_MS = 2_000;
 
 class TcpFrameConnection implements FrameConnection {
@@ -22,18 +22,18 @@
     this.splitter = new FrameSplitter((frame) => this.receiver(frame));
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => this.receive(chunk));
-    // The close event follows every error and is the one that peers act on.
+    // Every error is followed by a close event, which is the one that users handle.
     socket.on('error', () => undefined);
   }
 
   send(frame: Uint8Array): boolean {
     if (this.socket.destroyed) return true;
-    this.corkUntilTurnEnds();
+    this.corkUntilNextIteration();
     const header = Buffer.allocUnsafe(FRAME_HEADER_BYTES);
     header.writeUInt32BE(frame.length, 0);
     this.socket.write(header);
     this.socket.write(frame);
-    return this.socket.writableLength < SEND_BUFFER_MARK_BYTES;
+    return this.socket.writableLength < SEND_BUFFER_HIGH_WATER_MARK_BYTES;
   }
 
   close(): void {
@@ -61,12 +61,12 @@
     try {
       this.splitter.push(chunk);
     } catch {
-      // An oversized frame leaves no way to find the next one.
+      // After an oversized frame, the start of the next one is unknown.
       this.socket.destroy();
     }
   }
 
-  private corkUntilTurnEnds(): void {
+  private corkUntilNextIteration(): void {
     if (this.corked) return;
     this.corked = true;
     this.socket.cork();
--- a/src/transport/udp-datagram-transport.ts
+++ b/src/transport/udp-datagram-transport.ts
@@ -15,7 +15,7 @@
         reject(new TransportFailure({ kind: 'listen-failed', address, reason: error.message })),
       );
       socket.bind(port, host, () => {
-        // After binding, errors concern single datagrams, which may be lost anyway.
+        // After binding, errors concern single datagrams, whose delivery isn't guaranteed.
         socket.removeAllListeners('error');
         socket.on('error', () => undefined);
         resolve(new BoundUdpSocket(socket, formatAddress(host, socket.address().port)));
--- a/test/bounded-line-writer.test.ts
+++ b/test/bounded-line-writer.test.ts
@@ -1,4 +1,4 @@
-/** Log lines wait in bounds for a slow reader. */
+/** Guards against unbounded memory, lost order and silent loss of log lines with a slow reader. */
 import test from 'ava';
 import {
   BoundedLineWriter,
@@ -7,18 +7,18 @@
 } from '../src/telemetry/bounded-line-writer.js';
 
 type Done = Parameters<WriteBytes>[2];
-/** Each line is due at once. */
-const AT_ONCE: ScheduleWrite = (onDue) => onDue();
+/** Writes each line without batching. */
+const WRITE_IMMEDIATELY: ScheduleWrite = (onDue) => onDue();
 const UNBOUNDED = 1_000_000;
 
-test('lines go out in order, those that came meanwhile together', (t) => {
+test('lines are written in order, and lines added during a write are written together', (t) => {
   const written: string[] = [];
   const pending: Done[] = [];
   const write: WriteBytes = (_descriptor, bytes, onDone) => {
     written.push(bytes.toString());
     pending.push((error) => onDone(error, bytes.length));
   };
-  const writer = new BoundedLineWriter(1, write, UNBOUNDED, AT_ONCE);
+  const writer = new BoundedLineWriter(1, write, UNBOUNDED, WRITE_IMMEDIATELY);
   writer.writeLine('a');
   writer.writeLine('b');
   writer.writeLine('c');
@@ -27,25 +27,25 @@
   t.deepEqual(written, ['a\n', 'b\nc\n']);
 });
 
-test('a partial write goes on where it stopped', (t) => {
+test('a partial write continues where it stopped', (t) => {
   const written: string[] = [];
   const write: WriteBytes = (_descriptor, bytes, onDone) => {
     written.push(bytes.subarray(0, 2).toString());
     onDone(null, Math.min(2, bytes.length));
   };
-  const writer = new BoundedLineWriter(1, write, UNBOUNDED, AT_ONCE);
+  const writer = new BoundedLineWriter(1, write, UNBOUNDED, WRITE_IMMEDIATELY);
   writer.writeLine('abc');
   t.is(written.join(''), 'abc\n');
 });
 
-test('lines beyond the bound are dropped and counted in the log', (t) => {
+test('lines beyond the buffer limit are dropped and counted in the log', (t) => {
   const written: string[] = [];
   const pending: (() => void)[] = [];
   const write: WriteBytes = (_descriptor, bytes, onDone) => {
     written.push(bytes.toString());
     pending.push(() => onDone(null, bytes.length));
   };
-  const writer = new BoundedLineWriter(1, write, 10, AT_ONCE);
+  const writer = new BoundedLineWriter(1, write, 10, WRITE_IMMEDIATELY);
   writer.writeLine('first');
   writer.writeLine('second');
   writer.writeLine('third');
@@ -55,7 +55,7 @@
   t.is(written[1], 'second\nevent=log_lines_dropped count=2\n');
 });
 
-test('lines that come soon after each other go out in one write', (t) => {
+test('lines within a batch interval are written together', (t) => {
   const written: string[] = [];
   const due: (() => void)[] = [];
   const write: WriteBytes = (_descriptor, bytes, onDone) => {
