--- a/src/runtime/suspension-meter.ts
+++ b/src/runtime/suspension-meter.ts
@@ -41,13 +41,13 @@
 
   /** Monotonic time plus the time in which the machine may have been suspended; never goes back. */
   passedMs(): number {
-    const steadyMs = this.sources.steadyMs();
-    const jumpMs = this.sources.wallMs() - steadyMs - this.aheadMs;
+    const monotonicMs = this.sources.steadyMs();
+    const jumpMs = this.sources.wallMs() - monotonicMs - this.aheadMs;
     if (Math.abs(jumpMs) >= SHORTEST_JUMP_MS) {
       this.aheadMs += jumpMs;
       this.suspendedMs += Math.max(0, jumpMs);
       this.onJump({ aheadMs: jumpMs });
     }
-    return steadyMs + this.suspendedMs;
+    return monotonicMs + this.suspendedMs;
   }
 }
