--- a/soak/call-arrivals.ts
+++ b/soak/call-arrivals.ts
@@ -1,12 +1,12 @@
-/** Requests of a soak as they reached engines, with the routers that sent them and what disturbed these. */
+/** Requests of a soak that arrived at engines, by router, and the disturbances of the routers. */
 import type { CallRecord } from './callers.js';
 import type { SoakRecord } from './oracle.js';
 import { BOUNDS, DisturbanceKind, type RouterProcess } from './router-process.js';
 
-/** A request as it reached an engine. */
+/** A request that arrived at an engine. */
 export interface Arrival {
   readonly call: CallRecord;
-  /** One life of the engine. */
+  /** Identifier of the engine's incarnation. */
   readonly engineId: string;
   readonly atMs: number;
 }
@@ -32,22 +32,22 @@
     return this.callsById.get(requestId);
   }
 
-  /** What reached one engine from the router at an address. */
-  ofRouter(engineId: string, router: string): Arrival[] {
+  /** Arrivals at one engine from the router at an address. */
+  fromRouter(engineId: string, router: string): Arrival[] {
     return this.all.filter(
       (arrival) => arrival.engineId === engineId && arrival.call.router === router,
     );
   }
 
-  /** Whether the router's process did not run, or started again, between two moments. */
+  /** Whether the router's process was down, frozen, or restarting at any time in a span. */
   wasInterrupted(address: string, fromMs: number, toMs: number): boolean {
     const router = this.routersByAddress.get(address);
     if (!router) return true;
-    const isUnplanned = router.disturbances.some(
-      ({ kind, fromMs: beganMs, untilMs }) =>
-        kind !== DisturbanceKind.StoreWay && beganMs <= toMs && fromMs <= (untilMs ?? Infinity),
+    const wasDisturbed = router.disturbances.some(
+      ({ kind, fromMs: startedMs, untilMs }) =>
+        kind !== DisturbanceKind.StoreLink && startedMs <= toMs && fromMs <= (untilMs ?? Infinity),
     );
     const graceMs = BOUNDS.grace_s * 1_000;
-    return isUnplanned || router.stops.some((atMs) => atMs <= toMs && fromMs <= atMs + graceMs);
+    return wasDisturbed || router.stops.some((atMs) => atMs <= toMs && fromMs <= atMs + graceMs);
   }
 }
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of the soak: they ask a directory, keep connections until these end, and note what they saw. */
+/** Callers of the soak: they query a directory, reuse open connections and record each response. */
 import { Agent, type IncomingMessage, request as httpRequest } from 'node:http';
 import { type RandomSource, randomElement, randomInteger } from '../src/runtime/random.js';
 import { parseAddress } from '../src/transport/address.js';
@@ -8,46 +8,45 @@
 /** Kinds of request. */
 export type CallKind = 'plain-safe' | 'plain-unsafe' | 'stream-resumable' | 'stream-once';
 
-/** A tenant's key and whether it may be taken away. */
+/** An API key and its tenant. */
 export interface CallerKey {
   readonly tenant: string;
   readonly key: string;
 }
 
-/** One request and what its caller saw. Moments are of the wall clock. */
+/** One request and its outcome for the caller. Times are wall-clock times. */
 export interface CallRecord {
   readonly id: string;
   readonly kind: CallKind;
   readonly key: CallerKey;
   readonly router: string;
   readonly sentMs: number;
-  /** Body of the request; the same one makes it the same request under another identifier. */
+  /** Body of the request. Requests with equal bodies count as the same request. */
   readonly sentBody: string;
   endedMs: number | undefined;
   status: number | undefined;
-  /** Whether the answer was whole by the protocol. */
-  isWhole: boolean;
+  /** Whether the response is complete according to HTTP framing. */
+  isComplete: boolean;
   body: string;
-  /** Why the connection ended, where no whole answer came. */
+  /** Why no complete response was received. */
   failure: string | undefined;
   retryAfterS: number | undefined;
 }
 
-/** An answer of a directory. */
-export interface DirectoryRecord {
+/** A response of a directory. */
+export interface DirectoryResponse {
   readonly router: string;
   readonly atMs: number;
   readonly addresses: readonly string[];
 }
 
 const DEADLINE_MS = 3_000;
-/** An answer of the directory is kept this long. */
-const ANSWER_LIFETIME_MS = 2_000;
+/** How long a response of the directory is cached. */
+const DIRECTORY_CACHE_MS = 2_000;
 const DIRECTORY_TIMEOUT_MS = 1_000;
-/** Share of the requests that go to a router to which a connection is open. */
+/** Share of the requests that reuse an open connection. */
 const OPEN_CONNECTION_SHARE = 0.6;
-/** All kinds of request. */
-export const KINDS: readonly CallKind[] = [
+export const CALL_KINDS: readonly CallKind[] = [
   'plain-safe',
   'plain-unsafe',
   'stream-resumable',
@@ -62,12 +61,12 @@
   'stream-once': '/stream/once/',
 };
 
-/** One caller. */
+/** A caller that sends one request at a time. */
 export class Caller {
   private readonly agent = new Agent({ keepAlive: true, maxFreeSockets: 4, scheduling: 'lifo' });
   private addresses: readonly string[] = [];
-  private askedMs = -Infinity;
-  private count = 0;
+  private resolvedAtMs = -Infinity;
+  private callCount = 0;
 
   constructor(
     private readonly name: string,
@@ -75,29 +74,29 @@
     private readonly keys: readonly CallerKey[],
     private readonly random: RandomSource,
     private readonly calls: CallRecord[],
-    private readonly answers: DirectoryRecord[],
+    private readonly directoryResponses: DirectoryResponse[],
   ) {}
 
   /**
-   * Sends one request and resolves when it has ended.
+   * Sends one request; resolves when it has ended.
    *
-   * @param fixed kind and body of a request that comes again; left out: one of its own
+   * @param repeated kind and body of a repeated request; by default a new request
    */
-  async call(fixed?: { readonly kind: CallKind; readonly body: string }): Promise<void> {
+  async call(repeated?: { readonly kind: CallKind; readonly body: string }): Promise<void> {
     const address = await this.chooseAddress();
     if (address === undefined) return;
-    this.count += 1;
-    const id = `${this.name}-${this.count}`;
+    this.callCount += 1;
+    const id = `${this.name}-${this.callCount}`;
     const record: CallRecord = {
       id,
-      kind: fixed?.kind ?? randomElement(this.random, KINDS) ?? 'plain-safe',
+      kind: repeated?.kind ?? randomElement(this.random, CALL_KINDS) ?? 'plain-safe',
       key: randomElement(this.random, this.keys) as CallerKey,
       router: address,
       sentMs: Date.now(),
-      sentBody: fixed?.body ?? id,
+      sentBody: repeated?.body ?? id,
       endedMs: undefined,
       status: undefined,
-      isWhole: false,
+      isComplete: false,
       body: '',
       failure: undefined,
       retryAfterS: undefined,
@@ -105,45 +104,45 @@
     this.calls.push(record);
     await this.send(record);
     record.endedMs = Date.now();
-    if (record.failure !== undefined) this.askedMs = -Infinity;
+    if (record.failure !== undefined) this.resolvedAtMs = -Infinity;
   }
 
   close(): void {
     this.agent.destroy();
   }
 
-  /** An open connection is used on until it ends, whatever the directory says meanwhile. */
+  /** Open connections stay in use until they close, even if the directory omits their router. */
   private async chooseAddress(): Promise<string | undefined> {
     const open = this.openAddresses();
     if (open.length > 0 && this.random.next() < OPEN_CONNECTION_SHARE) {
       return randomElement(this.random, open);
     }
-    if (Date.now() - this.askedMs > ANSWER_LIFETIME_MS) await this.askDirectory();
+    if (Date.now() - this.resolvedAtMs > DIRECTORY_CACHE_MS) await this.queryDirectory();
     return randomElement(this.random, this.addresses);
   }
 
   private openAddresses(): string[] {
-    // Names of pools are `host:port:` and more.
+    // Names of socket pools start with `host:port:`.
     const pools = Object.entries(this.agent.freeSockets).filter(([, sockets]) => sockets?.length);
     return pools.map(([name]) => name.split(':').slice(0, 2).join(':'));
   }
 
-  /** Asks up to three directories, as the users' callers do. */
-  private async askDirectory(): Promise<void> {
+  /** Queries up to three directories. */
+  private async queryDirectory(): Promise<void> {
     const first = randomInteger(this.random, this.directories.length);
-    for (let turn = 0; turn < 3; turn += 1) {
-      const router = this.directories[(first + turn) % this.directories.length] as string;
+    for (let attempt = 0; attempt < 3; attempt += 1) {
+      const router = this.directories[(first + attempt) % this.directories.length] as string;
       const path = `/resolve?name=${HOST}&region=region-a&zone=zone-a`;
       try {
-        const answer = await callJson(router, 'GET', path, undefined, DIRECTORY_TIMEOUT_MS);
-        const { addresses } = answer.body as { addresses?: string[] };
-        if (answer.status !== 200 || !addresses) continue;
-        this.answers.push({ router, atMs: Date.now(), addresses });
+        const response = await callJson(router, 'GET', path, undefined, DIRECTORY_TIMEOUT_MS);
+        const { addresses } = response.body as { addresses?: string[] };
+        if (response.status !== 200 || !addresses) continue;
+        this.directoryResponses.push({ router, atMs: Date.now(), addresses });
         this.addresses = addresses;
-        this.askedMs = Date.now();
+        this.resolvedAtMs = Date.now();
         return;
       } catch {
-        // This directory does not answer; the next is asked, then the old answer is used on.
+        // Try the next directory; if all fail, keep using the addresses received last.
       }
     }
   }
@@ -170,7 +169,7 @@
       const timer = setTimeout(() => fail('deadline'), DEADLINE_MS);
       request.on('close', () => clearTimeout(timer));
       request.on('error', (error) => fail(error.message));
-      request.on('response', (response) => readAnswer(response, record, fail, resolve));
+      request.on('response', (response) => readResponse(response, record, fail, resolve));
       request.end(record.sentBody);
     });
   }
@@ -191,7 +190,7 @@
   }
 }
 
-function readAnswer(
+function readResponse(
   response: IncomingMessage,
   record: CallRecord,
   fail: (reason: string) => void,
@@ -203,7 +202,7 @@
   response.on('data', (chunk: Buffer) => (record.body += chunk.toString('utf8')));
   response.on('error', (error) => fail(error.message));
   response.on('end', () => {
-    record.isWhole = response.complete;
+    record.isComplete = response.complete;
     if (response.complete) onEnd();
     else fail('incomplete');
   });
--- a/soak/deployment.ts
+++ b/soak/deployment.ts
@@ -12,12 +12,12 @@
   ReportedRun,
   StoreCommand,
 } from './messages.js';
-import { ODD_NAME } from './odd-entries.js';
+import { MALFORMED_NAME_PREFIX } from './odd-entries.js';
 import { BOUNDS, RouterProcess } from './router-process.js';
 import { TcpProxy } from './tcp-proxy.js';
 import { HOST, MODEL, Service, WireKind, callJson } from './wire.js';
 
-/** What engines and operator saw. */
+/** Events reported by engines, and changes and faults made by the soak. */
 export interface Observations {
   readonly runs: ReportedRun[];
   readonly arrivals: {
@@ -28,28 +28,28 @@
   }[];
   readonly notices: ReportedNotice[];
   readonly limits: ReportedLimit[];
-  /** When the store took that an engine leaves. */
+  /** Time at which the store accepted that an engine drains, by incarnation. */
   readonly drains: Map<string, number>;
-  readonly orders: Extract<EngineReport, { kind: 'order' }>[];
-  /** Engines that a request has ended. */
+  readonly loadCommands: Extract<EngineReport, { kind: 'order' }>[];
+  /** Requests that crashed an engine. */
   readonly crashes: Extract<EngineReport, { kind: 'crash' }>[];
-  /** Requests that were sent to what an entry of another writer names. */
-  readonly strays: Extract<EngineReport, { kind: 'stray' }>[];
-  /** When the store took that a key is gone; undefined again once it is back. */
+  /** Requests that were addressed to an engine other than the one that received them. */
+  readonly misdirectedRequests: Extract<EngineReport, { kind: 'stray' }>[];
+  /** Removals of API keys; `untilMs` is set when the key is restored. */
   readonly keyRemovals: {
     readonly key: string;
     readonly atMs: number;
     untilMs: number | undefined;
   }[];
-  /** Spans in which some engine was not sound, or the way to it. */
-  readonly engineTroubles: {
+  /** Spans in which an engine, or the link to it, was faulty. */
+  readonly engineFaults: {
     readonly fromMs: number;
     readonly untilMs: number;
-    /** Name of the engine to which the way was faulty; undefined where the engine itself was. */
-    readonly wayTo: string | undefined;
+    /** Engine whose link was faulty; undefined if the engine itself was. */
+    readonly linkTo: string | undefined;
   }[];
-  /** Spans in which the store was not sound. */
-  readonly storeTroubles: { readonly fromMs: number; untilMs: number | undefined }[];
+  /** Spans in which the store was faulty. */
+  readonly storeFaults: { readonly fromMs: number; untilMs: number | undefined }[];
 }
 
 /** Size of a soak. */
@@ -60,16 +60,16 @@
 }
 
 const STORE_PROGRAM = fileURLToPath(new URL('./store-program.js', import.meta.url));
-const SEEDS = 3;
-/** Host numbers of the routers' addresses begin here. */
-const FIRST_HOST = 10;
-/** For callers, the directory, readiness, and what routers say to each other. */
+const SEED_COUNT = 3;
+/** Last octet of the first router's address. */
+const FIRST_HOST_NUMBER = 10;
+/** Frontend, directory, readiness and gossip. */
 const PORTS_PER_ROUTER = 4;
-const RETRY_MS = 100;
-/** The operator writes again what a restored store lacks, so long after its return. */
-const WRITTEN_AGAIN_MS = 100;
+const WRITE_RETRY_MS = 100;
+/** Delay from the return of a restored store to the operator's rewrite of lost objects. */
+const REWRITE_DELAY_MS = 100;
 
-/** A running deployment. */
+/** A running deployment of routers, engines and a store. */
 export class Deployment {
   readonly routers: RouterProcess[] = [];
   readonly observations: Observations = {
@@ -78,20 +78,20 @@
     notices: [],
     limits: [],
     drains: new Map(),
-    orders: [],
+    loadCommands: [],
     crashes: [],
-    strays: [],
+    misdirectedRequests: [],
     keyRemovals: [],
-    engineTroubles: [],
-    storeTroubles: [],
+    engineFaults: [],
+    storeFaults: [],
   };
   private readonly storeProxies: TcpProxy[] = [];
   readonly fleet: EngineFleet;
   private configurationVersion = 0;
   private weightsVersion = 1;
-  private oddEntries = 0;
+  private malformedEntryCount = 0;
   private readonly removedKeys = new Set<string>();
-  private isOver = false;
+  private isEnded = false;
   private lastWrite = Promise.resolve();
   private lastToggle = Promise.resolve();
   private startedMs = Infinity;
@@ -105,8 +105,10 @@
   }
 
   /**
-   * @param folder for settings and logs
-   * @param programs builds of the routers' program
+   * Starts the processes.
+   *
+   * @param folder directory of settings and logs
+   * @param programs files of the builds that the routers run
    */
   static async start(
     size: DeploymentSize,
@@ -131,11 +133,11 @@
   }
 
   get directories(): string[] {
-    return this.routers.map(({ place }) => `${place.ip}:${place.ports.directory}`);
+    return this.routers.map(({ options }) => `${options.ip}:${options.ports.directory}`);
   }
 
-  /** Newest version of the weights that was named. */
-  get namedVersion(): number {
+  /** Newest version of the weights that the operator published. */
+  get publishedVersion(): number {
     return this.weightsVersion;
   }
 
@@ -143,76 +145,83 @@
     return this.storeProxies[router % this.storeProxies.length] as TcpProxy;
   }
 
-  tellStore(command: StoreCommand): void {
+  sendToStore(command: StoreCommand): void {
     this.store.send(command);
   }
 
-  /** The store stops answering, or refuses, for a while. */
-  troubleStore(condition: 'silent' | 'busy', forMs: number): void {
-    const trouble = { fromMs: Date.now(), untilMs: undefined as number | undefined };
-    this.observations.storeTroubles.push(trouble);
-    this.tellStore({ kind: 'condition', condition });
+  /** Makes the store unresponsive or busy for a while. */
+  disruptStore(condition: 'silent' | 'busy', forMs: number): void {
+    const fault = { fromMs: Date.now(), untilMs: undefined as number | undefined };
+    this.observations.storeFaults.push(fault);
+    this.sendToStore({ kind: 'condition', condition });
     setTimeout(() => {
-      this.tellStore({ kind: 'condition', condition: 'sound' });
-      trouble.untilMs = Date.now();
+      this.sendToStore({ kind: 'condition', condition: 'sound' });
+      fault.untilMs = Date.now();
     }, forMs);
   }
 
   /**
-   * The store is away for a while and back from a copy that lacks what was written last. The operator writes that
-   * again; the engines do with their next heartbeats.
+   * Makes the store unavailable for a while and restores it from a copy that lacks the last writes.
+   * The operator rewrites the lost objects; engines rewrite theirs with their next heartbeats.
    */
-  restoreStore(awayMs: number, lostMs: number): void {
-    this.troubleStore('silent', awayMs);
-    // No copy is older than the deployment.
+  restoreStore(outageMs: number, lostMs: number): void {
+    this.disruptStore('silent', outageMs);
+    // The copy must not be older than the deployment.
     const sinceStartMs = Date.now() - this.startedMs;
-    this.tellStore({ kind: 'restore', lostMs: Math.min(lostMs, sinceStartMs) });
-    setTimeout(() => void this.writeAgain(), awayMs + WRITTEN_AGAIN_MS);
+    this.sendToStore({ kind: 'restore', lostMs: Math.min(lostMs, sinceStartMs) });
+    setTimeout(() => void this.rewriteLostObjects(), outageMs + REWRITE_DELAY_MS);
   }
 
   /**
-   * Another writer leaves an entry among those of the engines.
+   * Writes a malformed entry among those of the engines, as a foreign writer would.
    *
-   * @param name the engine whose entry is overwritten; undefined: a name that is no engine's
+   * @param name engine whose entry is overwritten; by default a name that no engine has
    */
-  async writeOddEntry(spec: unknown, name?: string): Promise<void> {
-    this.oddEntries += 1;
-    await this.write(WireKind.engines, name ?? `${ODD_NAME}${this.oddEntries}`, spec);
+  async writeMalformedEntry(spec: unknown, name?: string): Promise<void> {
+    this.malformedEntryCount += 1;
+    await this.write(
+      WireKind.engines,
+      name ?? `${MALFORMED_NAME_PREFIX}${this.malformedEntryCount}`,
+      spec,
+    );
   }
 
-  /** Takes a key away, or gives it back; one change after the other, so that each removal gets its own end. */
+  /**
+   * Removes an API key, or restores a removed one. Changes run one after the other, so that each
+   * removal gets its own end.
+   */
   toggleKey(key: string): Promise<void> {
-    this.lastToggle = this.lastToggle.then(() => this.toggleNow(key));
+    this.lastToggle = this.lastToggle.then(() => this.applyKeyToggle(key));
     return this.lastToggle;
   }
 
-  private async toggleNow(key: string): Promise<void> {
+  private async applyKeyToggle(key: string): Promise<void> {
     const isRemoval = !this.removedKeys.has(key);
     if (isRemoval) this.removedKeys.add(key);
     else this.removedKeys.delete(key);
-    const last = this.observations.keyRemovals.findLast((removal) => removal.key === key);
-    // From the moment of asking the key may be honoured again.
-    if (!isRemoval && last) last.untilMs = Date.now();
+    const lastRemoval = this.observations.keyRemovals.findLast((removal) => removal.key === key);
+    // Routers may accept the key from the start of the write.
+    if (!isRemoval && lastRemoval) lastRemoval.untilMs = Date.now();
     await this.writeConfiguration();
     if (isRemoval) {
       this.observations.keyRemovals.push({ key, atMs: Date.now(), untilMs: undefined });
     }
   }
 
-  async nameWeights(): Promise<void> {
+  async publishWeights(): Promise<void> {
     this.weightsVersion += 1;
     await this.write(WireKind.weights, MODEL, { model: MODEL, version: this.weightsVersion });
   }
 
-  private async writeAgain(): Promise<void> {
+  private async rewriteLostObjects(): Promise<void> {
     const version = this.weightsVersion;
     await this.write(WireKind.weights, MODEL, { model: MODEL, version });
     await this.writeConfiguration();
   }
 
-  /** Ends every process that was started. */
+  /** Ends all processes. */
   async end(): Promise<void> {
-    this.isOver = true;
+    this.isEnded = true;
     await Promise.all(this.routers.map((router) => router.end()));
     this.fleet.end();
     for (const proxy of this.storeProxies) proxy.close();
@@ -224,10 +233,10 @@
     folder: string,
     programs: readonly string[],
   ): Promise<void> {
-    const ips = Array.from({ length: count }, (_, index) => `127.0.0.${FIRST_HOST + index}`);
-    // Routers use the same ports, each at an address of its own; of seeds only the host counts.
+    const ips = Array.from({ length: count }, (_, index) => `127.0.0.${FIRST_HOST_NUMBER + index}`);
+    // Routers use the same ports at different addresses. The port of a seed is ignored.
     const portBase = await findFreePorts(ips, PORTS_PER_ROUTER);
-    const seeds = ips.slice(0, SEEDS).map((ip) => `${ip}:1`);
+    const seeds = ips.slice(0, SEED_COUNT).map((ip) => `${ip}:1`);
     for (const [index, ip] of ips.entries()) {
       const proxy = await TcpProxy.open();
       proxy.targetPort = Number(this.storeAddress.split(':')[1]);
@@ -250,7 +259,7 @@
     }
   }
 
-  /** An operator writes one version after the other: an older one never overwrites a newer one. */
+  /** Writes versions one after the other, so that an older one never overwrites a newer one. */
   private writeConfiguration(): Promise<void> {
     this.lastWrite = this.lastWrite.then(() => {
       this.configurationVersion += 1;
@@ -259,16 +268,16 @@
     return this.lastWrite;
   }
 
-  /** Writes until the store has taken it. */
+  /** Retries the write until the store accepts it. */
   private async write(kind: string, name: string, spec: unknown): Promise<void> {
     const path = `/objects/${kind}/${name}`;
-    while (!this.isOver) {
-      const answer = await callJson(this.storeAddress, 'PUT', path, {
+    while (!this.isEnded) {
+      const response = await callJson(this.storeAddress, 'PUT', path, {
         metadata: { name },
         spec,
       }).catch(() => undefined);
-      if (answer?.status === 200) return;
-      await new Promise((resolve) => setTimeout(resolve, RETRY_MS));
+      if (response?.status === 200) return;
+      await new Promise((resolve) => setTimeout(resolve, WRITE_RETRY_MS));
     }
   }
 
@@ -323,5 +332,5 @@
   };
 }
 
-/** Bounds that the oracle judges by. */
+/** Bounds that the oracle checks. */
 export { BOUNDS };
--- a/soak/engine-fleet.ts
+++ b/soak/engine-fleet.ts
@@ -1,4 +1,4 @@
-/** The engines of one soak: their processes, the proxies before them, their restarts. */
+/** The engines of one soak: their processes, their proxies and their restarts. */
 import { type ChildProcess, fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import type { Observations } from './deployment.js';
@@ -9,115 +9,117 @@
 
 /** One engine. */
 export interface Engine {
-  /** Identifier under which it is listed, the same in every life. */
+  /** Name of its entry in the store; the same in all incarnations. */
   readonly name: string;
   readonly service: string;
   readonly proxy: TcpProxy;
-  /** Process of the present life. */
+  /** Process of the current incarnation. */
   child: ChildProcess;
-  /** Version of its weights, as it has reported. */
+  /** Version of its weights, as last reported. */
   weightsVersion: number;
-  /** Version that the last load of weights has replaced. */
-  replacedVersion: number;
+  /** Version before the last load of weights. */
+  previousVersion: number;
   isLeaving: boolean;
-  /** Whether its next life is under way. */
+  /** Whether its process was ended and the next one is not listening yet. */
   isRestarting: boolean;
 }
 
-/** How an engine starts again under its name. */
-export interface Restart {
-  /** Time from its end to its next start, in milliseconds. */
-  readonly downMs: number;
-  /** From its end there is no way to it for this long, so that what is sent hangs. 0: no cut. */
-  readonly cutMs: number;
-  /** Whether it comes back with the version that its last load has replaced. */
-  readonly losesLoad: boolean;
+/** How an engine restarts under its name. */
+export interface RestartPlan {
+  /** Time between the end of the process and the next start. */
+  readonly downtimeMs: number;
+  /** Time from the end of the process in which connections to it hang; 0 for none. */
+  readonly unreachableMs: number;
+  /** Whether it restarts with the version before its last load of weights. */
+  readonly revertsWeights: boolean;
 }
 
 const ENGINE_PROGRAM = fileURLToPath(new URL('./engine-program.js', import.meta.url));
-/** Routers may take this long to find that an engine is gone. */
-const FOUND_MS = 5_000;
-/** An engine that a request has ended is started again after this time. */
-const CRASH_RESTART_MS = 1_500;
+/** Time that routers may need to detect the loss of an engine. */
+const DETECTION_MS = 5_000;
+const CRASH_RESTART_DELAY_MS = 1_500;
 
-/** The engines. */
+/** All engines of a deployment. */
 export class EngineFleet {
   private engines: Engine[] = [];
   private engineCount = 0;
   private crashCount = 0;
-  private isOver = false;
+  private isEnded = false;
 
   constructor(
     private readonly storeAddress: string,
     private readonly observations: Observations,
-    private readonly namedVersion: () => number,
+    private readonly publishedVersion: () => number,
   ) {}
 
-  /** Engines that have not been asked to leave. */
-  get staying(): readonly Engine[] {
+  /** Engines that do not drain and have not crashed for good. */
+  get remaining(): readonly Engine[] {
     return this.engines.filter((engine) => !engine.isLeaving);
   }
 
-  /** Engines that are about to serve or serve. */
+  /** Engines of `remaining` that are not restarting. */
   get running(): readonly Engine[] {
-    return this.staying.filter((engine) => !engine.isRestarting);
+    return this.remaining.filter((engine) => !engine.isRestarting);
   }
 
-  behave(engine: Engine, behavior: EngineBehavior): void {
+  setBehavior(engine: Engine, behavior: EngineBehavior): void {
     send(engine, { kind: 'behave', behavior });
   }
 
-  /** The engine refuses and asks for pauses; 0 ms ends that. */
-  askPause(engine: Engine, backoffMs: number): void {
+  /** Makes the engine reject requests with this retry delay; 0 ends that. */
+  setBackoff(engine: Engine, backoffMs: number): void {
     send(engine, { kind: 'ask-pause', backoffMs });
   }
 
-  /** The engine names a limit on requests a second; undefined ends that. */
-  limit(engine: Engine, perSecond: number | undefined): void {
+  /** Makes the engine announce a limit on requests per second; undefined ends that. */
+  setRateLimit(engine: Engine, perSecond: number | undefined): void {
     send(engine, { kind: 'limit', perSecond: perSecond ?? null });
   }
 
-  /** The engine leaves as planned, and another takes its place. */
+  /** Adds a new engine and drains this one. */
   async replace(engine: Engine): Promise<void> {
     engine.isLeaving = true;
     await this.add(engine.service);
     send(engine, { kind: 'drain' });
   }
 
-  /** The engine's process is killed, and another engine takes its place. */
+  /** Kills the engine's process and adds a new engine. */
   async crash(engine: Engine): Promise<void> {
     engine.isLeaving = true;
-    this.noteTrouble(FOUND_MS);
+    this.recordFault(DETECTION_MS);
     engine.child.kill('SIGKILL');
     await this.add(engine.service);
   }
 
-  /** The engine's process is killed and starts again under its name and at its address. */
-  restart(engine: Engine, { downMs, cutMs, losesLoad }: Restart): void {
+  /** Kills the engine's process and starts it again with the same name and address. */
+  restart(engine: Engine, { downtimeMs, unreachableMs, revertsWeights }: RestartPlan): void {
     if (engine.isRestarting) return;
     engine.isRestarting = true;
-    this.noteTrouble(FOUND_MS + downMs + cutMs, cutMs > 0 ? engine : undefined);
-    if (cutMs > 0) {
-      engine.proxy.mode = ProxyMode.Silent;
-      setTimeout(() => (engine.proxy.mode = ProxyMode.Pass), cutMs);
+    this.recordFault(
+      DETECTION_MS + downtimeMs + unreachableMs,
+      unreachableMs > 0 ? engine : undefined,
+    );
+    if (unreachableMs > 0) {
+      engine.proxy.mode = ProxyMode.Blackhole;
+      setTimeout(() => (engine.proxy.mode = ProxyMode.Pass), unreachableMs);
     }
     engine.child.kill('SIGKILL');
-    if (losesLoad) engine.weightsVersion = engine.replacedVersion;
-    setTimeout(() => void this.beginAgain(engine), downMs);
+    if (revertsWeights) engine.weightsVersion = engine.previousVersion;
+    setTimeout(() => void this.startNextIncarnation(engine), downtimeMs);
   }
 
-  /** @param wayTo the engine to which the way is faulty; left out where the engine itself is not sound */
-  noteTrouble(forMs: number, wayTo?: Engine): void {
+  /** @param linkTo engine whose link is faulty; undefined if the engine itself is */
+  recordFault(forMs: number, linkTo?: Engine): void {
     const fromMs = Date.now();
-    const wayToName = wayTo?.name;
-    this.observations.engineTroubles.push({ fromMs, untilMs: fromMs + forMs, wayTo: wayToName });
+    const linkToName = linkTo?.name;
+    this.observations.engineFaults.push({ fromMs, untilMs: fromMs + forMs, linkTo: linkToName });
   }
 
   async add(service: string): Promise<void> {
     this.engineCount += 1;
     const name = `engine-${this.engineCount}`;
     const proxy = await TcpProxy.open();
-    const weightsVersion = this.namedVersion();
+    const weightsVersion = this.publishedVersion();
     const child = this.startProcess(name, service, proxy.address, weightsVersion);
     const engine: Engine = {
       name,
@@ -125,7 +127,7 @@
       proxy,
       child,
       weightsVersion,
-      replacedVersion: weightsVersion,
+      previousVersion: weightsVersion,
       isLeaving: false,
       isRestarting: false,
     };
@@ -134,9 +136,9 @@
     this.engines = [...this.engines, engine];
   }
 
-  /** Ends every process. */
+  /** Ends all processes. */
   end(): void {
-    this.isOver = true;
+    this.isEnded = true;
     for (const { child, proxy } of this.engines) {
       child.kill('SIGKILL');
       proxy.close();
@@ -152,9 +154,9 @@
     return fork(ENGINE_PROGRAM, [name, service, address, this.storeAddress, String(version)]);
   }
 
-  /** The next life: it has the version of the former one, and nothing else of it. */
-  private async beginAgain(engine: Engine): Promise<void> {
-    if (this.isOver || engine.isLeaving) return;
+  /** Starts the next incarnation. It takes over nothing but the version of the weights. */
+  private async startNextIncarnation(engine: Engine): Promise<void> {
+    if (this.isEnded || engine.isLeaving) return;
     const { name, service, proxy, weightsVersion } = engine;
     engine.child = this.startProcess(name, service, proxy.address, weightsVersion);
     this.watch(engine);
@@ -164,51 +166,56 @@
 
   private watch(engine: Engine): void {
     const { child } = engine;
-    child.on('message', (message) => this.note(engine, message as EngineReport));
+    child.on('message', (message) => this.handleReport(engine, message as EngineReport));
     child.once('exit', () => {
       if (engine.isLeaving) engine.proxy.close();
-      else if (!engine.isRestarting && !this.isOver) this.restartCrashed(engine);
+      else if (!engine.isRestarting && !this.isEnded) this.restartCrashed(engine);
     });
   }
 
-  /** An engine that a request has ended starts again under its name, or gives its place to another. */
+  /** Restarts a crashed engine under its name, or replaces it by a new one, in turn. */
   private restartCrashed(engine: Engine): void {
     this.crashCount += 1;
     if (this.crashCount % 2 === 0) {
-      this.restart(engine, { downMs: CRASH_RESTART_MS, cutMs: 0, losesLoad: false });
+      this.restart(engine, {
+        downtimeMs: CRASH_RESTART_DELAY_MS,
+        unreachableMs: 0,
+        revertsWeights: false,
+      });
       return;
     }
     engine.isLeaving = true;
     engine.proxy.close();
-    this.noteTrouble(FOUND_MS);
+    this.recordFault(DETECTION_MS);
     setTimeout(() => {
-      if (!this.isOver) void this.add(engine.service);
-    }, CRASH_RESTART_MS);
+      if (!this.isEnded) void this.add(engine.service);
+    }, CRASH_RESTART_DELAY_MS);
   }
 
-  private note(engine: Engine, report: EngineReport): void {
-    const { runs, arrivals, notices, limits, drains, orders, crashes, strays } = this.observations;
+  private handleReport(engine: Engine, report: EngineReport): void {
+    const { runs, arrivals, notices, limits, drains, loadCommands, crashes, misdirectedRequests } =
+      this.observations;
     if (report.kind === 'run') runs.push(report);
     if (report.kind === 'arrival') arrivals.push(report);
     if (report.kind === 'notice') notices.push(report);
     if (report.kind === 'limit') limits.push(report);
     if (report.kind === 'draining') drains.set(report.engineId, report.atMs);
-    if (report.kind === 'order') orders.push(report);
+    if (report.kind === 'order') loadCommands.push(report);
     if (report.kind === 'crash') crashes.push(report);
-    if (report.kind === 'stray') strays.push(report);
+    if (report.kind === 'stray') misdirectedRequests.push(report);
     if (report.kind === 'weights') {
-      engine.replacedVersion = engine.weightsVersion;
+      engine.previousVersion = engine.weightsVersion;
       engine.weightsVersion = report.version;
     }
   }
 }
 
-/** An engine's process may have ended meanwhile, and then nobody takes the command. */
+/** Sends a command, unless the engine's process has ended. */
 function send({ child }: Engine, command: EngineCommand): void {
   if (child.connected) child.send(command);
 }
 
-/** Engines that hold the model, with the versions that they have at the end. */
+/** Engines that serve the model, with the versions of their weights. */
 export function weightsOf(engines: readonly Engine[]): { name: string; version: number }[] {
   return engines
     .filter(({ service }) => service === Service.generation)
--- a/soak/engine-life-steps.ts
+++ b/soak/engine-life-steps.ts
@@ -1,22 +1,22 @@
-/** Steps of a soak on the lives of engines: restarts under one name, and entries of other writers. */
+/** Steps of a soak that restart engines under their names or write malformed entries. */
 import { type RandomSource, randomElement, randomInteger } from '../src/runtime/random.js';
-import type { Engine, Restart } from './engine-fleet.js';
-import { makeOddEntry } from './odd-entries.js';
-import type { Maker } from './schedule.js';
+import type { Engine, RestartPlan } from './engine-fleet.js';
+import { drawMalformedEntry } from './odd-entries.js';
+import type { StepFactory } from './schedule.js';
 import { Service } from './wire.js';
 
-const DOWN_MS = [0, 100, 800, 2_500] as const;
-const CUT_MS = [0, 0, 700, 3_000] as const;
-/** By then the engines have loaded what was named: a rollout begins some seconds before its bound of eight. */
-const LOADED_MS = 6_500;
-/** Until its next heartbeat an engine whose entry was overwritten may be left out. */
-const OVERWRITTEN_MS = 1_500;
+const DOWNTIMES_MS = [0, 100, 800, 2_500] as const;
+const UNREACHABLE_TIMES_MS = [0, 0, 700, 3_000] as const;
+/** Time after which the engines have loaded newly published weights. */
+const WEIGHTS_LOADED_MS = 6_500;
+/** Time until the heartbeat that rewrites an overwritten entry. */
+const OVERWRITTEN_ENTRY_MS = 1_500;
 
-function drawRestart(random: RandomSource): Restart {
+function drawRestart(random: RandomSource): RestartPlan {
   return {
-    downMs: randomElement(random, DOWN_MS) ?? 0,
-    cutMs: randomElement(random, CUT_MS) ?? 0,
-    losesLoad: random.next() < 0.5,
+    downtimeMs: randomElement(random, DOWNTIMES_MS) ?? 0,
+    unreachableMs: randomElement(random, UNREACHABLE_TIMES_MS) ?? 0,
+    revertsWeights: random.next() < 0.5,
   };
 }
 
@@ -24,12 +24,11 @@
   return engines.filter(({ service }) => service === Service.generation);
 }
 
-/** The steps. */
-export const ENGINE_LIFE_MAKERS: readonly Maker[] = [
+export const ENGINE_RESTART_STEPS: readonly StepFactory[] = [
   (random) => {
     const restart = drawRestart(random);
     return {
-      name: `an engine restarts, down ${restart.downMs} ms, cut ${restart.cutMs} ms`,
+      name: `an engine restarts, down ${restart.downtimeMs} ms, unreachable ${restart.unreachableMs} ms`,
       run: ({ fleet }) => {
         const engine = randomElement(random, fleet.running);
         if (engine) fleet.restart(engine, restart);
@@ -41,7 +40,7 @@
     const restart = drawRestart(random);
     const gapMs = 300 + randomInteger(random, 1_500);
     return {
-      name: `an engine restarts ${times} times, each ${gapMs} ms`,
+      name: `an engine restarts ${times} times, every ${gapMs} ms`,
       run: async ({ fleet }) => {
         const engine = randomElement(random, fleet.running);
         if (!engine) return;
@@ -54,11 +53,11 @@
   },
   (random) => {
     const restart = drawRestart(random);
-    const afterMs = random.next() < 0.5 ? randomInteger(random, 2_500) : LOADED_MS;
+    const afterMs = random.next() < 0.5 ? randomInteger(random, 2_500) : WEIGHTS_LOADED_MS;
     return {
-      name: `weights are named, and an engine restarts ${afterMs} ms later`,
+      name: `weights are published, and an engine restarts ${afterMs} ms later`,
       run: async (deployment) => {
-        await deployment.nameWeights();
+        await deployment.publishWeights();
         await new Promise((resolve) => setTimeout(resolve, afterMs));
         const engine = randomElement(random, generationEngines(deployment.fleet.running));
         if (engine) deployment.fleet.restart(engine, restart);
@@ -66,20 +65,23 @@
     };
   },
   (random) => ({
-    name: 'another writer leaves an odd entry',
+    name: 'a foreign writer adds a malformed entry',
     run: (deployment) => {
       const engine = randomElement(random, deployment.fleet.running);
       if (!engine) return;
-      return deployment.writeOddEntry(makeOddEntry(random, engine.proxy.address));
+      return deployment.writeMalformedEntry(drawMalformedEntry(random, engine.proxy.address));
     },
   }),
   (random) => ({
-    name: "another writer overwrites an engine's entry",
+    name: "a foreign writer overwrites an engine's entry",
     run: (deployment) => {
       const engine = randomElement(random, deployment.fleet.running);
       if (!engine) return;
-      deployment.fleet.noteTrouble(OVERWRITTEN_MS);
-      return deployment.writeOddEntry(makeOddEntry(random, engine.proxy.address), engine.name);
+      deployment.fleet.recordFault(OVERWRITTEN_ENTRY_MS);
+      return deployment.writeMalformedEntry(
+        drawMalformedEntry(random, engine.proxy.address),
+        engine.name,
+      );
     },
   }),
 ];
--- a/soak/engine-notice-steps.ts
+++ b/soak/engine-notice-steps.ts
@@ -1,35 +1,34 @@
-/** Steps of a soak on what engines say of themselves: engines that leave unheard, and that ask for pauses. */
+/** Steps of a soak on notices in engine responses: drains in store outages, and retry delays. */
 import { randomElement, randomInteger } from '../src/runtime/random.js';
-import type { Maker } from './schedule.js';
+import type { StepFactory } from './schedule.js';
 
 const STORE_CONDITIONS = ['silent', 'busy'] as const;
-/** Long enough for the oracle to judge their end, with its slack for a busy machine. */
-const PAUSES_MS = [1_000, 5_000, 8_000] as const;
+/** The longer ones exceed the slack of the oracle, so that it can check them. */
+const BACKOFFS_MS = [1_000, 5_000, 8_000] as const;
 
-/** The steps. */
-export const ENGINE_NOTICE_MAKERS: readonly Maker[] = [
+export const ENGINE_NOTICE_STEPS: readonly StepFactory[] = [
   (random) => {
     const condition = randomElement(random, STORE_CONDITIONS) ?? 'silent';
     const forMs = 5_000 + randomInteger(random, 6_000);
     return {
-      name: `store ${condition} for ${forMs} ms, and an engine leaves meanwhile`,
+      name: `store ${condition} for ${forMs} ms while an engine drains`,
       run: (deployment) => {
         const engine = randomElement(random, deployment.fleet.running);
-        deployment.troubleStore(condition, forMs);
+        deployment.disruptStore(condition, forMs);
         return engine && deployment.fleet.replace(engine);
       },
     };
   },
   (random) => {
-    const backoffMs = randomElement(random, PAUSES_MS) ?? 1_000;
+    const backoffMs = randomElement(random, BACKOFFS_MS) ?? 1_000;
     const forMs = 1_000 + randomInteger(random, 5_000);
     const engines = 1 + randomInteger(random, 3);
     return {
-      name: `${engines} engines refuse for ${forMs} ms and ask for ${backoffMs} ms`,
+      name: `${engines} engines reject for ${forMs} ms with a retry delay of ${backoffMs} ms`,
       run: ({ fleet }) => {
         for (const engine of fleet.running.slice(0, engines)) {
-          fleet.askPause(engine, backoffMs);
-          setTimeout(() => fleet.askPause(engine, 0), forMs);
+          fleet.setBackoff(engine, backoffMs);
+          setTimeout(() => fleet.setBackoff(engine, 0), forMs);
         }
       },
     };
--- a/soak/engine-program.ts
+++ b/soak/engine-program.ts
@@ -1,19 +1,19 @@
 /**
- * A process that stands in for an engine of the users' platform: plain calls and streams, its entry in the
- * store, orders for weights. Arguments: name, service, address to publish, address of the store, version of
- * the weights. Each process is one life: it keeps nothing of an earlier one.
+ * A fake engine: serves plain calls and streams, writes its entry in the store and executes load
+ * commands. Each process is one incarnation. Arguments: name, service, address to publish, address
+ * of the store, version of the weights.
  */
 import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { HttpStatus } from '../src/protocol/http-status.js';
 import {
-  CRASHING_BODY,
+  CRASHING_BODY_PREFIX,
   EngineBehavior,
   type EngineCommand,
   type EngineReport,
 } from './messages.js';
 import { STREAM_EVENTS } from './stream-events.js';
-import { MODEL, Service, WireHeader, WireKind, answerJson, callJson, readBody } from './wire.js';
+import { MODEL, Service, WireHeader, WireKind, sendJson, callJson, readBody } from './wire.js';
 
 const [name = '', service = '', publicAddress = '', storeAddress = ''] = process.argv.slice(2);
 
@@ -22,33 +22,32 @@
 const EVENT_GAP_MS = 15;
 const SLOTS = 32;
 const LOAD_MS = 300;
-/** An engine that leaves serves on for this long after the store knows. */
-const SERVES_ON_MS = 9_000;
+/** How long a draining engine keeps serving after the store has accepted its state. */
+const DRAIN_MS = 9_000;
 const CRASH_DELAY_MS = 40;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Start of this life. */
-const born = Date.now();
-/** Identity of this life in what is reported to the oracle. */
-const lifeId = `${name}@${born}`;
+const startedAtMs = Date.now();
+/** Identifier of this incarnation in reports to the oracle. */
+const incarnationId = `${name}@${startedAtMs}`;
 
-let behavior = EngineBehavior.Sound;
+let behavior = EngineBehavior.Healthy;
 let isDraining = false;
-/** What a refusal asks for; 0: nothing is refused for this reason. */
+/** Retry delay with which requests are rejected; 0 if they are accepted. */
 let backoffMs = 0;
-/** Requests a second that its answers name; undefined: none. */
+/** Announced limit on requests per second. */
 let limitPerSecond: number | undefined;
 let running = 0;
 let weightsVersion = Number(process.argv[6] ?? 1);
 let loading: number | undefined;
 let sequence = 0;
-let highestToken = 0;
+let highestFencingToken = 0;
 
 function report(message: EngineReport): void {
   process.send?.(message);
 }
 
-function entry(): object {
+function engineEntry(): object {
   const models = service === Service.generation ? [{ name: MODEL, version: weightsVersion }] : [];
   return {
     service,
@@ -58,18 +57,18 @@
     state: isDraining ? 'draining' : 'ready',
     stage: 'both',
     models,
-    born,
+    born: startedAtMs,
   };
 }
 
 async function writeEntry(): Promise<boolean> {
   const path = `/objects/${WireKind.engines}/${name}`;
-  const body = { metadata: { name }, spec: entry() };
+  const body = { metadata: { name }, spec: engineEntry() };
   try {
     const { status } = await callJson(storeAddress, 'PUT', path, body);
     return status === 200;
   } catch {
-    // The store is away; the next heartbeat tries again.
+    // The store is unavailable; the next heartbeat retries.
     return false;
   }
 }
@@ -77,13 +76,13 @@
 async function drain(): Promise<void> {
   isDraining = true;
   while (!(await writeEntry())) await new Promise((resolve) => setTimeout(resolve, 100));
-  report({ kind: 'draining', engineId: lifeId, atMs: Date.now() });
-  setTimeout(() => process.exit(0), SERVES_ON_MS);
+  report({ kind: 'draining', engineId: incarnationId, atMs: Date.now() });
+  setTimeout(() => process.exit(0), DRAIN_MS);
 }
 
-function refuse(response: ServerResponse, status: number, requestId: string): void {
-  const isPauseAsked = status === HttpStatus.Unavailable && backoffMs > 0;
-  tellNotice(response, requestId, isPauseAsked ? backoffMs : 0);
+function reject(response: ServerResponse, status: number, requestId: string): void {
+  const isBackoffRequested = status === HttpStatus.Unavailable && backoffMs > 0;
+  addNotice(response, requestId, isBackoffRequested ? backoffMs : 0);
   response.writeHead(status, {
     [WireHeader.notExecuted]: '1',
     [WireHeader.attemptId]: requestId,
@@ -92,30 +91,31 @@
   response.end();
 }
 
-/** Puts into an answer what it says of this engine, and tells the oracle. */
-function tellNotice(response: ServerResponse, requestId: string, askedMs: number): void {
-  if (!isDraining && askedMs === 0 && limitPerSecond === undefined) return;
+/** Adds the headers on the state of this engine to a response and reports them to the oracle. */
+function addNotice(response: ServerResponse, requestId: string, requestedBackoffMs: number): void {
+  if (!isDraining && requestedBackoffMs === 0 && limitPerSecond === undefined) return;
   if (isDraining) response.setHeader(WireHeader.leaving, '1');
-  if (askedMs > 0) response.setHeader(WireHeader.retryAfter, askedMs / MILLISECONDS_PER_SECOND);
+  if (requestedBackoffMs > 0)
+    response.setHeader(WireHeader.retryAfter, requestedBackoffMs / MILLISECONDS_PER_SECOND);
   if (limitPerSecond !== undefined) response.setHeader(WireHeader.limit, limitPerSecond);
   report({
     kind: 'notice',
     requestId,
-    engineId: lifeId,
+    engineId: incarnationId,
     isLeaving: isDraining,
-    backoffMs: askedMs,
+    backoffMs: requestedBackoffMs,
     limitPerSecond,
     atMs: Date.now(),
   });
 }
 
-function nameLimit(perSecond: number | undefined): void {
+function setRateLimit(perSecond: number | undefined): void {
   limitPerSecond = perSecond;
-  report({ kind: 'limit', engineId: lifeId, perSecond, atMs: Date.now() });
+  report({ kind: 'limit', engineId: incarnationId, perSecond, atMs: Date.now() });
 }
 
-/** Status with which a request is refused, not run; undefined where it runs. */
-function refusalOf({ headers }: IncomingMessage): number | undefined {
+/** Status with which a request is rejected; undefined if it is executed. */
+function rejectionStatusOf({ headers }: IncomingMessage): number | undefined {
   const expectedId = headers[WireHeader.expectInstance];
   if (expectedId !== undefined && expectedId !== name) return HttpStatus.Misdirected;
   const expectedVersion = headers[WireHeader.expectVersion];
@@ -123,28 +123,28 @@
     return HttpStatus.Misdirected;
   }
   if (backoffMs > 0) return HttpStatus.Unavailable;
-  const hasNoPlace = running >= SLOTS || loading !== undefined;
-  return hasNoPlace || behavior === EngineBehavior.Busy ? HttpStatus.Unavailable : undefined;
+  const isFull = running >= SLOTS || loading !== undefined;
+  return isFull || behavior === EngineBehavior.Busy ? HttpStatus.Unavailable : undefined;
 }
 
 async function serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
   const requestId = String(request.headers[WireHeader.attemptId] ?? '');
-  report({ kind: 'arrival', requestId, engineId: lifeId, service, atMs: Date.now() });
+  report({ kind: 'arrival', requestId, engineId: incarnationId, service, atMs: Date.now() });
   const body = await readBody(request);
-  const named = request.headers[WireHeader.expectInstance]?.toString();
-  if (named !== undefined && named !== name) {
-    report({ kind: 'stray', requestId, named, atMs: Date.now() });
+  const expectedEngine = request.headers[WireHeader.expectInstance]?.toString();
+  if (expectedEngine !== undefined && expectedEngine !== name) {
+    report({ kind: 'stray', requestId, named: expectedEngine, atMs: Date.now() });
   }
-  const refusal = refusalOf(request);
-  if (refusal !== undefined) {
-    refuse(response, refusal, requestId);
+  const rejectionStatus = rejectionStatusOf(request);
+  if (rejectionStatus !== undefined) {
+    reject(response, rejectionStatus, requestId);
     return;
   }
   reportRun(request, requestId);
   running += 1;
   response.once('close', () => (running -= 1));
-  if (body.startsWith(CRASHING_BODY)) {
-    // It ends within its run: an answer that comes before would clear the request.
+  if (body.startsWith(CRASHING_BODY_PREFIX)) {
+    // The crash must precede the response, which would lift the suspicion of the request.
     crash(requestId);
     if (service !== Service.generation) return;
   }
@@ -158,11 +158,14 @@
   if (service === Service.generation && status === 200) {
     stream(request, response, requestId, headers);
   } else {
-    setTimeout(() => answerPlain(response, status, headers, `${requestId}:${body}`), PLAIN_WORK_MS);
+    setTimeout(
+      () => sendPlainResponse(response, status, headers, `${requestId}:${body}`),
+      PLAIN_WORK_MS,
+    );
   }
 }
 
-/** Ends this process a little later, as a fault in the engine's own code would. */
+/** Ends this process after a short delay, as a fault in the engine would. */
 function crash(requestId: string): void {
   setTimeout(() => {
     process.send?.({ kind: 'crash', requestId, atMs: Date.now() } satisfies EngineReport, () =>
@@ -172,28 +175,28 @@
 }
 
 function reportRun({ headers }: IncomingMessage, requestId: string): void {
-  const text = (name: string): string | undefined => headers[name]?.toString();
+  const headerText = (name: string): string | undefined => headers[name]?.toString();
   report({
     kind: 'run',
     requestId,
-    engineId: lifeId,
+    engineId: incarnationId,
     service,
-    tenant: text(WireHeader.tenant),
-    salt: text(WireHeader.salt),
+    tenant: headerText(WireHeader.tenant),
+    salt: headerText(WireHeader.salt),
     weightsVersion,
     startedMs: Date.now(),
   });
 }
 
-function answerPlain(
+function sendPlainResponse(
   response: ServerResponse,
   status: number,
   headers: Record<string, string>,
   body: string,
 ): void {
-  tellNotice(response, headers[WireHeader.attemptId] ?? '', 0);
+  addNotice(response, headers[WireHeader.attemptId] ?? '', 0);
   response.writeHead(status, { ...headers, 'Content-Length': String(Buffer.byteLength(body)) });
-  if (behavior === EngineBehavior.Cutting) {
+  if (behavior === EngineBehavior.Truncating) {
     response.write(body.slice(0, body.length / 2));
     setTimeout(() => response.destroy(), 1);
   } else response.end(body);
@@ -205,15 +208,15 @@
   requestId: string,
   headers: Record<string, string>,
 ): void {
-  tellNotice(response, requestId, 0);
+  addNotice(response, requestId, 0);
   response.writeHead(200, { ...headers, 'Content-Type': 'text/event-stream' });
   let number = Number(request.headers[WireHeader.lastEventId] ?? 0);
-  const cutAfter = behavior === EngineBehavior.Cutting ? STREAM_EVENTS / 2 : Infinity;
+  const cutAfter = behavior === EngineBehavior.Truncating ? STREAM_EVENTS / 2 : Infinity;
   const timer = setInterval(() => {
     number += 1;
     if (number > cutAfter) {
       clearInterval(timer);
-      // Engines break off within an event, too.
+      // The stream ends within an event.
       response.write(`id: ${number}\ndata: `, () => response.destroy());
       return;
     }
@@ -225,36 +228,42 @@
   response.once('close', () => clearInterval(timer));
 }
 
-interface Order {
+interface LoadCommand {
   readonly version: number;
   readonly holder: string;
   readonly fencing_token: number;
   readonly expected_revision?: number;
 }
 
-/** Takes an order; answers its status. */
-function takeOrder(order: Order): number {
-  if (order.fencing_token < highestToken) return 412;
-  highestToken = order.fencing_token;
-  const token = order.fencing_token;
-  report({ kind: 'order', engineId: lifeId, holder: order.holder, token, atMs: Date.now() });
+/** Applies a load command; returns the status of the response. */
+function handleLoadCommand(command: LoadCommand): number {
+  if (command.fencing_token < highestFencingToken) return 412;
+  highestFencingToken = command.fencing_token;
+  const token = command.fencing_token;
+  report({
+    kind: 'order',
+    engineId: incarnationId,
+    holder: command.holder,
+    token,
+    atMs: Date.now(),
+  });
   if (loading !== undefined) return 409;
-  if (order.expected_revision !== undefined && order.expected_revision !== sequence) return 409;
-  if (order.version <= weightsVersion) return 200;
+  if (command.expected_revision !== undefined && command.expected_revision !== sequence) return 409;
+  if (command.version <= weightsVersion) return 200;
   sequence += 1;
-  loading = order.version;
+  loading = command.version;
   setTimeout(() => {
     weightsVersion = loading ?? weightsVersion;
     loading = undefined;
-    // The entry follows with the next heartbeat: until then only orders and reports show the version.
+    // The entry changes with the next heartbeat; until then only reports contain the version.
     report({ kind: 'weights', version: weightsVersion });
   }, LOAD_MS);
   return 202;
 }
 
-function answerReport(response: ServerResponse): void {
-  answerJson(response, 200, {
-    born,
+function sendReport(response: ServerResponse): void {
+  sendJson(response, 200, {
+    born: startedAtMs,
     stage: 'both',
     models: [{ name: MODEL, version: weightsVersion, adapters: [] }],
     busy: loading !== undefined,
@@ -267,24 +276,35 @@
   });
 }
 
-async function answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
   if (isDraining) response.setHeader(WireHeader.leaving, '1');
   const path = (request.url ?? '/').split('?')[0];
-  if (path === '/report') answerReport(response);
+  if (path === '/report') sendReport(response);
   else if (path === '/order') {
-    const order = JSON.parse(await readBody(request)) as Order;
-    answerJson(response, takeOrder(order), { born });
+    const command = JSON.parse(await readBody(request)) as LoadCommand;
+    sendJson(response, handleLoadCommand(command), { born: startedAtMs });
   } else if (path === '/kv-events') {
-    const events = { born, boot_epoch: born, next_page_token: 0, lost: false, events: [] };
-    setTimeout(() => answerJson(response, 200, events), 500);
+    const events = {
+      born: startedAtMs,
+      boot_epoch: startedAtMs,
+      next_page_token: 0,
+      lost: false,
+      events: [],
+    };
+    setTimeout(() => sendJson(response, 200, events), 500);
   } else if (path === '/kv-list') {
-    answerJson(response, 200, { born, boot_epoch: born, next_page_token: 0, held: [] });
+    sendJson(response, 200, {
+      born: startedAtMs,
+      boot_epoch: startedAtMs,
+      next_page_token: 0,
+      held: [],
+    });
   } else await serve(request, response);
 }
 
 const server = createServer((request, response) => {
-  // A caller that leaves while its request is read needs no answer.
-  answer(request, response).catch(() => response.destroy());
+  // Fails if the caller disconnects while its request is read.
+  handleRequest(request, response).catch(() => response.destroy());
 });
 server.keepAliveTimeout = 5_000;
 server.listen(0, '127.0.0.1', () => {
@@ -294,7 +314,7 @@
   const command = message as EngineCommand;
   if (command.kind === 'behave') behavior = command.behavior;
   else if (command.kind === 'ask-pause') backoffMs = command.backoffMs;
-  else if (command.kind === 'limit') nameLimit(command.perSecond ?? undefined);
+  else if (command.kind === 'limit') setRateLimit(command.perSecond ?? undefined);
   else void drain();
 });
 process.on('disconnect', () => process.exit(0));
--- a/soak/free-ports.ts
+++ b/soak/free-ports.ts
@@ -1,9 +1,9 @@
-/** Finds ports that are free at several addresses of the loopback range. */
+/** Finds ports that are free at several loopback addresses. */
 import { type AddressInfo, type Server, createServer } from 'node:net';
 
 const MAXIMUM_TRIES = 50;
 
-/** First of `count` ports in a row that are free at all the addresses. Rejects where none are found. */
+/** First of `count` consecutive ports that are free at all addresses. Rejects if none are found. */
 export async function findFreePorts(ips: readonly string[], count: number): Promise<number> {
   for (let tries = 0; tries < MAXIMUM_TRIES; tries += 1) {
     const probe = await listen(ips[0] ?? '127.0.0.1', 0);
@@ -11,7 +11,7 @@
     await close(probe);
     if (await areFree(ips, first, count)) return first;
   }
-  throw new Error(`no ${count} free ports in a row`);
+  throw new Error(`no ${count} consecutive free ports found`);
 }
 
 async function areFree(ips: readonly string[], first: number, count: number): Promise<boolean> {
@@ -25,7 +25,7 @@
   return servers.every((server) => server !== undefined);
 }
 
-/** Undefined where the port is taken. */
+/** Resolves with undefined if the port is in use. */
 function listen(ip: string, port: number): Promise<Server | undefined> {
   const server = createServer();
   return new Promise((resolve) => {
--- a/soak/limit-oracle.ts
+++ b/soak/limit-oracle.ts
@@ -1,4 +1,4 @@
-/** Judges whether the routers of a soak together kept to the limits that engines named. */
+/** Checks that the routers of a soak together respected the rate limits of engines. */
 import {
   LIMIT_ON_THE_WAY_MS,
   LIMIT_WINDOW_MS,
@@ -7,27 +7,27 @@
 } from '../src/lab/limit-tolerance.js';
 import { type Arrival, CallArrivals } from './call-arrivals.js';
 import type { ReportedLimit } from './messages.js';
-import type { Breach, SoakRecord } from './oracle.js';
+import type { Violation, SoakRecord } from './oracle.js';
 import { BOUNDS, SLACK_MS } from './router-process.js';
 
-/** A limit that one life of an engine named for a while. */
-interface LimitedTime {
+/** A span in which one incarnation of an engine announced a limit. */
+interface LimitPeriod {
   readonly engineId: string;
   readonly perSecond: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** All limits that were passed. */
-export function judgeLimits(record: SoakRecord): Breach[] {
+/** All violations of rate limits. */
+export function judgeLimits(record: SoakRecord): Violation[] {
   const arrivals = new CallArrivals(record);
-  return limitedTimes(record.observations.limits).flatMap((time) =>
-    judgeTime(time, record, arrivals),
+  return limitPeriods(record.observations.limits).flatMap((period) =>
+    judgePeriod(period, record, arrivals),
   );
 }
 
-/** Each limit until the engine's next word. */
-function limitedTimes(limits: readonly ReportedLimit[]): LimitedTime[] {
+/** Each limit lasts until the next report of its engine. */
+function limitPeriods(limits: readonly ReportedLimit[]): LimitPeriod[] {
   return limits.flatMap(({ engineId, perSecond, atMs }, index) => {
     if (perSecond === undefined) return [];
     const next = limits.slice(index + 1).find((later) => later.engineId === engineId);
@@ -35,48 +35,50 @@
   });
 }
 
-function judgeTime(time: LimitedTime, record: SoakRecord, arrivals: CallArrivals): Breach[] {
-  const { engineId, perSecond, fromMs } = time;
-  const toldMs = toldByRouter(time, record, arrivals);
-  const counted = arrivals.all.filter((arrival) => isCounted(arrival, time, toldMs, arrivals));
-  // On a machine that is busy with many processes requests of a longer time may arrive together.
+function judgePeriod(period: LimitPeriod, record: SoakRecord, arrivals: CallArrivals): Violation[] {
+  const { engineId, perSecond, fromMs } = period;
+  const learnedMs = learnedByRouter(period, record, arrivals);
+  const counted = arrivals.all.filter((arrival) => isCounted(arrival, period, learnedMs, arrivals));
+  // On a busy machine requests sent over a longer time may arrive together.
   const allowed = toleratedRequests(perSecond, LIMIT_WINDOW_MS + SLACK_MS);
-  const full = firstFullWindow(
+  const fullWindow = firstFullWindow(
     counted.map(({ atMs }) => atMs),
     fromMs + BOUNDS.contact_ms + SLACK_MS,
     () => allowed,
   );
-  if (!full) return [];
-  const detail = `${full.requests} requests at ${engineId}, which takes ${perSecond} a second`;
+  if (!fullWindow) return [];
+  const detail = `${fullWindow.requests} requests at ${engineId} with a limit of ${perSecond}/s`;
   return [{ promise: 'limit-kept', detail }];
 }
 
-/** When each router passed the first answer with the limit on. */
-function toldByRouter(
-  { engineId, fromMs, untilMs }: LimitedTime,
+/** When each router forwarded its first response with the limit. */
+function learnedByRouter(
+  { engineId, fromMs, untilMs }: LimitPeriod,
   { observations }: SoakRecord,
   arrivals: CallArrivals,
 ): ReadonlyMap<string, number> {
-  const toldMs = new Map<string, number>();
+  const learnedMs = new Map<string, number>();
   for (const notice of observations.notices) {
-    const isOfTime = notice.engineId === engineId && notice.atMs >= fromMs && notice.atMs < untilMs;
-    if (!isOfTime || notice.limitPerSecond === undefined) continue;
+    const isInPeriod =
+      notice.engineId === engineId && notice.atMs >= fromMs && notice.atMs < untilMs;
+    if (!isInPeriod || notice.limitPerSecond === undefined) continue;
     const call = arrivals.callOf(notice.requestId);
     if (call?.endedMs === undefined || call.status !== 200) continue;
-    const present = toldMs.get(call.router) ?? Infinity;
-    toldMs.set(call.router, Math.min(present, call.endedMs));
+    const earliest = learnedMs.get(call.router) ?? Infinity;
+    learnedMs.set(call.router, Math.min(earliest, call.endedMs));
   }
-  return toldMs;
+  return learnedMs;
 }
 
 function isCounted(
   { call, engineId, atMs }: Arrival,
-  time: LimitedTime,
-  toldMs: ReadonlyMap<string, number>,
+  period: LimitPeriod,
+  learnedMs: ReadonlyMap<string, number>,
   arrivals: CallArrivals,
 ): boolean {
-  if (engineId !== time.engineId || atMs >= time.untilMs) return false;
-  if (atMs < (toldMs.get(call.router) ?? Infinity) + LIMIT_ON_THE_WAY_MS + SLACK_MS) return false;
+  if (engineId !== period.engineId || atMs >= period.untilMs) return false;
+  if (atMs < (learnedMs.get(call.router) ?? Infinity) + LIMIT_ON_THE_WAY_MS + SLACK_MS)
+    return false;
   const sinceMs = atMs - LIMIT_WINDOW_MS - BOUNDS.contact_ms - SLACK_MS;
   return !arrivals.wasInterrupted(call.router, sinceMs, atMs);
 }
--- a/soak/messages.ts
+++ b/soak/messages.ts
@@ -1,36 +1,36 @@
-/** What the processes of the soak tell each other. All moments are of the machine's wall clock. */
+/** Messages between the processes of the soak. All times are wall-clock times. */
 
-/** How an engine treats its requests. */
+/** How an engine handles its requests. */
 export enum EngineBehavior {
-  Sound = 'sound',
-  /** Refuses, and says so. */
+  Healthy = 'sound',
+  /** Rejects all requests as not executed. */
   Busy = 'busy',
-  /** Runs and answers with its own failure. */
+  /** Executes requests and responds with status 500. */
   Failing = 'failing',
-  /** Runs and breaks its answer off. */
-  Cutting = 'cutting',
-  /** Runs and never answers. */
+  /** Executes requests and truncates the response. */
+  Truncating = 'cutting',
+  /** Executes requests and never responds. */
   Hanging = 'hanging',
 }
 
-/** To an engine. */
+/** Commands to an engine. */
 export type EngineCommand =
   | { readonly kind: 'behave'; readonly behavior: EngineBehavior }
-  /** It refuses and asks for a pause, until it is told a pause of 0 ms. */
+  /** Reject requests with this retry delay, until a command with 0. */
   | { readonly kind: 'ask-pause'; readonly backoffMs: number }
-  /** It names this limit in its answers, until it is told null. */
+  /** Announce this limit in responses, until a command with null. */
   | { readonly kind: 'limit'; readonly perSecond: number | null }
-  /** It says that it leaves, serves on for a while and ends. */
+  /** Announce the drain, keep serving for a while and exit. */
   | { readonly kind: 'drain' };
 
-/** A request whose body begins so ends each engine that runs it. */
-export const CRASHING_BODY = 'crashes-engines';
+/** Prefix of bodies of requests that crash each engine that executes them. */
+export const CRASHING_BODY_PREFIX = 'crashes-engines';
 
-/** One run of a request at an engine. */
+/** An execution of a request by an engine. */
 export interface ReportedRun {
   readonly kind: 'run';
   readonly requestId: string;
-  /** One life of the engine. */
+  /** Identifier of the engine's incarnation. */
   readonly engineId: string;
   readonly service: string;
   readonly tenant: string | undefined;
@@ -39,34 +39,34 @@
   readonly startedMs: number;
 }
 
-/** An answer told something of the engine itself. */
+/** A response with headers on the engine's own state: draining, retry delay, rate limit. */
 export interface ReportedNotice {
   readonly kind: 'notice';
   readonly requestId: string;
-  /** One life of the engine. */
+  /** Identifier of the engine's incarnation. */
   readonly engineId: string;
   readonly isLeaving: boolean;
-  /** It wants no requests of that router for so long; 0 where it asked for no pause. */
+  /** Requested retry delay; 0 for none. */
   readonly backoffMs: number;
-  /** Requests a second that it takes from all routers; undefined where it named no limit. */
+  /** Limit on requests per second from all routers; undefined for none. */
   readonly limitPerSecond?: number | undefined;
   readonly atMs: number;
 }
 
-/** An engine names a limit from now on; undefined: it names none any more. */
+/** An engine changed its announced limit; `perSecond` is undefined if it has none now. */
 export interface ReportedLimit {
   readonly kind: 'limit';
-  /** One life of the engine. */
+  /** Identifier of the engine's incarnation. */
   readonly engineId: string;
   readonly perSecond?: number | undefined;
   readonly atMs: number;
 }
 
-/** From an engine. */
+/** Reports of an engine. */
 export type EngineReport =
   | { readonly kind: 'listening'; readonly port: number }
   | ReportedRun
-  /** A request came, run or not. */
+  /** A request arrived, whether it is executed or not. */
   | {
       readonly kind: 'arrival';
       readonly requestId: string;
@@ -76,18 +76,18 @@
     }
   | ReportedNotice
   | ReportedLimit
-  /** A request came that names another engine, which may not even exist. */
+  /** A request arrived that is addressed to another engine, which may not exist. */
   | {
       readonly kind: 'stray';
       readonly requestId: string;
       readonly named: string;
       readonly atMs: number;
     }
-  /** The engine has loaded other weights. */
+  /** The engine has loaded a version of the weights. */
   | { readonly kind: 'weights'; readonly version: number }
-  /** A request is about to end this engine. */
+  /** A request is about to crash this engine. */
   | { readonly kind: 'crash'; readonly requestId: string; readonly atMs: number }
-  /** The store has taken that this engine leaves. */
+  /** The store has accepted that this engine drains. */
   | { readonly kind: 'draining'; readonly engineId: string; readonly atMs: number }
   | {
       readonly kind: 'order';
@@ -97,17 +97,17 @@
       readonly atMs: number;
     };
 
-/** To the store. */
+/** Commands to the store. */
 export type StoreCommand =
   | { readonly kind: 'condition'; readonly condition: 'sound' | 'silent' | 'busy' }
-  /** It forgets its history. */
+  /** Drop the history of changes. */
   | { readonly kind: 'compact' }
-  /** The next lists are answered later by these times, in milliseconds. */
+  /** Delay the next list responses by these times. */
   | { readonly kind: 'delay-lists'; readonly delaysMs: readonly number[] }
-  /** It is back at once from the copy that was made so long ago. */
+  /** Restore the state from `lostMs` ago. */
   | { readonly kind: 'restore'; readonly lostMs: number };
 
-/** From the store. */
+/** Report of the store. */
 export interface StoreReport {
   readonly kind: 'listening';
   readonly port: number;
--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -1,7 +1,7 @@
 /**
- * `node dist/soak/mutations.js`: switches protections of the program off, one by one, and reports whether
- * the soak finds that a promise is broken. Run by hand; takes some minutes. An argument names the promise
- * whose mutations are to be tried; left out: all.
+ * `node dist/soak/mutations.js [PROMISE]`: disables safeguards of the program, one at a time, and
+ * reports whether the soak detects the broken promise. With an argument, only the mutations of that
+ * promise run. Takes some minutes; not part of the test suite.
  */
 import { mkdtempSync, readFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -10,11 +10,11 @@
 import type { SoakPromise } from './oracle.js';
 import { runSoak } from './soak-run.js';
 
-/** A protection that is switched off by a change of its source. */
+/** A change of the source that disables a safeguard. */
 interface Mutation {
   readonly name: string;
   readonly promise: SoakPromise;
-  /** Source file, from the repository's root. */
+  /** Path of the source file, relative to the repository root. */
   readonly file: string;
   readonly text: string;
   readonly replacement: string;
@@ -22,49 +22,49 @@
 
 const MUTATIONS: readonly Mutation[] = [
   {
-    name: 'silent routers are named until they are declared dead',
+    name: 'the directory lists unresponsive routers until they are declared dead',
     promise: 'directory',
     file: 'src/coordination/gateway/group-membership.ts',
     text: 'LONGEST_SILENCE_MS = 2_500',
     replacement: 'LONGEST_SILENCE_MS = 60_000',
   },
   {
-    name: 'engines that drain are given work',
+    name: 'draining engines receive requests',
     promise: 'engine-drained',
     file: 'src/state/routing/placement.ts',
     text: 'if (isDraining || ',
     replacement: 'if (',
   },
   {
-    name: 'only the store tells which engines leave',
+    name: 'notices of draining in engine responses are ignored',
     promise: 'leaving-engine-unused',
     file: 'src/coordination/gateway/engine-notices.ts',
     text: 'if (isLeaving && registry.noteLeaving(id)) {',
     replacement: 'if (isLeaving && id === "") {',
   },
   {
-    name: 'pauses that engines ask for are passed over',
+    name: 'retry delays requested by engines are ignored',
     promise: 'backoff-kept',
     file: 'src/coordination/gateway/engine-notices.ts',
     text: 'if (backoffMs !== undefined) {',
     replacement: 'if (backoffMs === -1) {',
   },
   {
-    name: 'limits that engines name are passed over',
+    name: 'rate limits announced by engines are ignored',
     promise: 'limit-kept',
     file: 'src/coordination/gateway/engine-notices.ts',
     text: 'if (limitPerSecond !== undefined) limitNews',
     replacement: 'if (limitPerSecond === -1) limitNews',
   },
   {
-    name: 'proofs of the configuration hold for ever',
+    name: 'confirmations of the configuration never expire',
     promise: 'key-removed',
     file: 'platform/settings.ts',
     text: 'PROOF_SHARE = 0.92',
     replacement: 'PROOF_SHARE = 1_000',
   },
   {
-    name: 'every request is repeated',
+    name: 'every request is retried',
     promise: 'at-most-once',
     file: 'platform/formats.ts',
     text: "isRepeatable: route.kind === 'safe' || isResumable",
@@ -78,42 +78,42 @@
     replacement: 'const isResumable = isStreaming',
   },
   {
-    name: 'what may have run is rejected with a promise',
+    name: 'requests that may have run are rejected as not executed',
     promise: 'not-run',
     file: 'src/coordination/gateway/request-call.ts',
     text: 'else if (this.mayHaveRun || isUnanswered) this.refuse',
     replacement: 'else if (this.request.id === "") this.refuse',
   },
   {
-    name: 'a planned stop ends the process at once',
+    name: 'a planned stop ends the process immediately',
     promise: 'planned-stop',
     file: 'platform/stop-sequence.ts',
     text: 'this.node.leave();',
     replacement: 'process.exit(0);',
   },
   {
-    name: 'a part of an event is passed on before the stream goes on elsewhere',
+    name: 'a partial event is forwarded before the stream is resumed elsewhere',
     promise: 'whole-answer',
     file: 'src/coordination/gateway/request-call.ts',
     text: 'if (!this.grant?.route.isResumable) {',
     replacement: 'if (this.grant) {',
   },
   {
-    name: 'requests that crash engines are never stopped',
+    name: 'requests that crash engines are never quarantined',
     promise: 'crashes-bounded',
     file: 'src/state/routing/request-quarantine.ts',
     text: '{ crashes: 3 }',
     replacement: '{ crashes: Infinity }',
   },
   {
-    name: 'entries in an unknown state are used',
+    name: 'entries with an unknown state are used',
     promise: 'odd-entry-unused',
     file: 'platform/formats.ts',
     text: 'state: z.enum(EngineState)',
     replacement: 'state: z.string()',
   },
   {
-    name: 'no engine is ordered to load weights',
+    name: 'no load commands are sent to engines',
     promise: 'weights-in-force',
     file: 'src/coordination/gateway/weight-coordinator.ts',
     text: 'void this.order(engine, model, version)',
@@ -123,9 +123,12 @@
 const SEEDS_PER_MUTATION = 8;
 const SPAN_MS = 20_000;
 
-async function bundleWith({ file, text, replacement }: Mutation, program: string): Promise<void> {
+async function bundleMutation(
+  { file, text, replacement }: Mutation,
+  program: string,
+): Promise<void> {
   const source = readFileSync(file, 'utf8');
-  if (!source.includes(text)) throw new Error(`${file} does not hold: ${text}`);
+  if (!source.includes(text)) throw new Error(`${file} does not contain: ${text}`);
   await build({
     entryPoints: ['platform/main.ts'],
     outfile: program,
@@ -149,11 +152,11 @@
   });
 }
 
-/** The first seed with which the soak finds the mutation; undefined where none does. */
-async function findingSeed(mutation: Mutation): Promise<number | undefined> {
+/** The first seed with which the soak detects the mutation; undefined if none does. */
+async function findDetectingSeed(mutation: Mutation): Promise<number | undefined> {
   const folder = mkdtempSync(join(tmpdir(), 'peatspan-soak-mutation-'));
   const program = join(folder, 'mutated.cjs');
-  await bundleWith(mutation, program);
+  await bundleMutation(mutation, program);
   for (let seed = 1; seed <= SEEDS_PER_MUTATION; seed += 1) {
     const runFolder = join(folder, String(seed));
     const options = {
@@ -168,8 +171,8 @@
       folder: runFolder,
       programs: [program],
     };
-    const { breaches } = await runSoak(options);
-    if (breaches.some(({ promise }) => promise === mutation.promise)) return seed;
+    const { violations } = await runSoak(options);
+    if (violations.some(({ promise }) => promise === mutation.promise)) return seed;
   }
   return undefined;
 }
@@ -178,7 +181,7 @@
 const results = await Promise.all(
   MUTATIONS.filter(({ promise }) => (onlyPromise ?? promise) === promise).map(async (mutation) => ({
     mutation,
-    seed: await findingSeed(mutation),
+    seed: await findDetectingSeed(mutation),
   })),
 );
 for (const { mutation, seed } of results) {
--- a/soak/notice-oracle.ts
+++ b/soak/notice-oracle.ts
@@ -1,17 +1,17 @@
-/** Judges whether the routers of a soak kept to what engines had told them of themselves. */
+/** Checks that the routers of a soak respected the notices in engine responses. */
 import { parseIncarnation } from '../src/state/routing/engine-incarnation.js';
 import { CallArrivals } from './call-arrivals.js';
 import type { ReportedNotice } from './messages.js';
-import type { Breach, SoakRecord } from './oracle.js';
+import type { Violation, SoakRecord } from './oracle.js';
 import { BOUNDS, SLACK_MS } from './router-process.js';
 
-/** Requests that were on their way when an engine asked for a pause arrive within this time. */
-const ON_THE_WAY_MS = 500;
-/** Requests that a router may send to an engine all the same while a pause lasts. */
-const MAXIMUM_IN_PAUSE = 2;
+/** Requests in transit when an engine requests a retry delay arrive within this time. */
+const IN_TRANSIT_MS = 500;
+/** Requests that a router may send to an engine during its retry delay. */
+const MAXIMUM_DURING_BACKOFF = 2;
 
-/** All broken promises on what engines say of themselves. */
-export function judgeNotices(record: SoakRecord): Breach[] {
+/** All violations of drain notices and retry delays. */
+export function judgeNotices(record: SoakRecord): Violation[] {
   return new NoticeJudge(record).all();
 }
 
@@ -22,56 +22,57 @@
     this.arrivals = new CallArrivals(record);
   }
 
-  all(): Breach[] {
+  all(): Violation[] {
     return this.record.observations.notices.flatMap((notice) => [
       ...this.judgeLeaving(notice),
       ...this.judgeBackoff(notice),
     ]);
   }
 
-  /** What callers send a while after a router has passed the engine's word on does not reach the engine. */
-  private judgeLeaving({ requestId, engineId, isLeaving }: ReportedNotice): Breach[] {
-    const passedOn = this.arrivals.callOf(requestId);
-    const passedOnMs = passedOn?.status === 200 ? passedOn.endedMs : undefined;
-    if (!isLeaving || !passedOn || passedOnMs === undefined) return [];
-    const limitMs = passedOnMs + BOUNDS.drain_ms + SLACK_MS;
+  /** After a router has forwarded a drain notice, it must not send later requests to the engine. */
+  private judgeLeaving({ requestId, engineId, isLeaving }: ReportedNotice): Violation[] {
+    const noticedCall = this.arrivals.callOf(requestId);
+    const noticedMs = noticedCall?.status === 200 ? noticedCall.endedMs : undefined;
+    if (!isLeaving || !noticedCall || noticedMs === undefined) return [];
+    const limitMs = noticedMs + BOUNDS.drain_ms + SLACK_MS;
     const late = this.arrivals
-      .ofRouter(engineId, passedOn.router)
+      .fromRouter(engineId, noticedCall.router)
       .find(
         ({ call, atMs }) =>
-          call.sentMs > limitMs && !this.arrivals.wasInterrupted(passedOn.router, passedOnMs, atMs),
+          call.sentMs > limitMs &&
+          !this.arrivals.wasInterrupted(noticedCall.router, noticedMs, atMs),
       );
     if (!late) return [];
-    const detail = `${late.call.id} at ${engineId}, ${late.atMs - passedOnMs} ms after`;
+    const detail = `${late.call.id} at ${engineId}, ${late.atMs - noticedMs} ms after`;
     return [{ promise: 'leaving-engine-unused', detail }];
   }
 
-  /** An engine that asked a router for a pause gets hardly a request of it until the pause is over. */
-  private judgeBackoff({ requestId, engineId, backoffMs, atMs }: ReportedNotice): Breach[] {
+  /** A router must send almost no requests to an engine during the retry delay it requested. */
+  private judgeBackoff({ requestId, engineId, backoffMs, atMs }: ReportedNotice): Violation[] {
     const router = this.arrivals.callOf(requestId)?.router;
     if (backoffMs === 0 || router === undefined) return [];
     const untilMs = atMs + backoffMs;
     if (
       this.arrivals.wasInterrupted(router, atMs, untilMs) ||
-      this.isWayFaulty(engineId, atMs, untilMs)
+      this.isLinkFaulty(engineId, atMs, untilMs)
     ) {
       return [];
     }
     const early = this.arrivals
-      .ofRouter(engineId, router)
+      .fromRouter(engineId, router)
       .filter(
-        (arrival) => arrival.atMs > atMs + ON_THE_WAY_MS + SLACK_MS && arrival.atMs < untilMs,
+        (arrival) => arrival.atMs > atMs + IN_TRANSIT_MS + SLACK_MS && arrival.atMs < untilMs,
       );
-    if (early.length <= MAXIMUM_IN_PAUSE) return [];
+    if (early.length <= MAXIMUM_DURING_BACKOFF) return [];
     const detail = `${early.length} requests at ${engineId} from ${router} in ${backoffMs} ms`;
     return [{ promise: 'backoff-kept', detail }];
   }
 
-  /** Whether answers of an engine may have been lost on the way between two moments. */
-  private isWayFaulty(engineId: string, fromMs: number, toMs: number): boolean {
+  /** Whether responses of an engine may have been lost in a span. */
+  private isLinkFaulty(engineId: string, fromMs: number, toMs: number): boolean {
     const { name } = parseIncarnation(engineId);
-    return this.record.observations.engineTroubles.some(
-      (each) => each.wayTo === name && each.fromMs <= toMs && fromMs <= each.untilMs,
+    return this.record.observations.engineFaults.some(
+      (each) => each.linkTo === name && each.fromMs <= toMs && fromMs <= each.untilMs,
     );
   }
 }
--- a/soak/odd-entries.ts
+++ b/soak/odd-entries.ts
@@ -1,12 +1,12 @@
-/** Entries of engines as another writer may leave them in the soak's store. */
+/** Malformed engine entries, as a foreign writer may leave them in the soak's store. */
 import { type RandomSource, randomElement } from '../src/runtime/random.js';
 import { MODEL, Service } from './wire.js';
 
-/** Names of such entries begin so where they are no engine's. */
-export const ODD_NAME = 'odd-';
+/** Prefix of the names of malformed entries that belong to no engine. */
+export const MALFORMED_NAME_PREFIX = 'odd-';
 
-/** An entry that is sound but for what the caller changes; its address is a living engine's. */
-function entryAt(address: string): Record<string, unknown> {
+/** A valid entry with the address of a running engine. */
+function validEntry(address: string): Record<string, unknown> {
   return {
     service: Service.generation,
     address,
@@ -19,9 +19,9 @@
   };
 }
 
-/** One odd entry: fields missing or of another type, names that nothing has, a value that can't be read. */
-export function makeOddEntry(random: RandomSource, address: string): unknown {
-  const entry = entryAt(address);
+/** Draws an entry with missing fields, wrong types, unknown names or an undecodable value. */
+export function drawMalformedEntry(random: RandomSource, address: string): unknown {
+  const entry = validEntry(address);
   const choices: readonly unknown[] = [
     { ...entry, state: undefined },
     { ...entry, address: undefined },
--- a/soak/oracle.ts
+++ b/soak/oracle.ts
@@ -1,14 +1,14 @@
-/** Judges a soak by what callers, engines and operator saw. Moments are of the wall clock. */
-import type { CallRecord, DirectoryRecord } from './callers.js';
+/** Checks the promises of a soak against the records of callers and engines, in wall-clock time. */
+import type { CallRecord, DirectoryResponse } from './callers.js';
 import type { Observations } from './deployment.js';
 import type { ReportedRun } from './messages.js';
 import { judgeLimits } from './limit-oracle.js';
 import { judgeNotices } from './notice-oracle.js';
-import { ODD_NAME } from './odd-entries.js';
+import { MALFORMED_NAME_PREFIX } from './odd-entries.js';
 import { BOUNDS, DisturbanceKind, type RouterProcess, SLACK_MS } from './router-process.js';
 import { STREAM_EVENTS } from './stream-events.js';
 
-/** The promises that are judged. */
+/** The promises that are checked. */
 export type SoakPromise =
   | 'whole-answer'
   | 'at-most-once'
@@ -28,44 +28,44 @@
   | 'limit-kept'
   | 'recovery';
 
-/** A promise that was broken. */
-export interface Breach {
+/** A broken promise. */
+export interface Violation {
   readonly promise: SoakPromise;
   readonly detail: string;
 }
 
-/** Everything that is known of a soak that has ended. */
+/** Complete record of a soak. */
 export interface SoakRecord {
   readonly calls: readonly CallRecord[];
-  readonly answers: readonly DirectoryRecord[];
+  readonly directoryResponses: readonly DirectoryResponse[];
   readonly observations: Observations;
   readonly routers: readonly RouterProcess[];
-  /** Newest version of the weights, and those that the engines have after all faults had ended. */
-  readonly weightsAtRest: {
-    readonly named: number;
+  /** Newest version of the weights and the versions of the engines after the last fault. */
+  readonly finalWeights: {
+    readonly published: number;
     readonly engines: readonly { readonly name: string; readonly version: number }[];
   };
-  /** The last calls, sent after all faults had ended. */
-  readonly callsAtRest: readonly CallRecord[];
+  /** Calls sent after the last fault. */
+  readonly finalCalls: readonly CallRecord[];
 }
 
-/** A router is held to its bounds again this long after a disturbance. */
-const CONTACT_MS = BOUNDS.contact_ms + SLACK_MS;
-/** The directory may name a router that is down for this long. */
+/** A router must meet its bounds again this long after a disturbance. */
+const RECOVERY_MS = BOUNDS.contact_ms + SLACK_MS;
+/** How long the directory may list a router that is down. */
 const DIRECTORY_BOUND_MS = 3_500;
-/** A connection may end without an answer this soon after the request, if nothing was passed on. */
+/** A connection may close without a response this soon after a request that no engine received. */
 const LOSS_SLACK_MS = 400;
-/** Share of the calls at rest that must be served. */
-const SERVED_AT_REST = 0.95;
-/** After so many crashes a request is known to crash engines. */
-const CRASHES_TO_KNOW = 3;
-/** Engines that it may reach from then on. */
-const MAXIMUM_LATE_CRASHES = 3;
-const PROMISE_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Minimum share of the final calls that must succeed. */
+const FINAL_SERVED_SHARE = 0.95;
+/** Number of crashes after which a request is quarantined. */
+const QUARANTINE_CRASHES = 3;
+/** Maximum number of runs of a quarantined request. */
+const MAXIMUM_QUARANTINED_RUNS = 3;
+const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** All broken promises. */
-export function judgeSoak(record: SoakRecord): Breach[] {
+/** All violations in a soak. */
+export function judgeSoak(record: SoakRecord): Violation[] {
   return new Judge(record).all();
 }
 
@@ -84,49 +84,51 @@
     this.routersByAddress = new Map(
       record.routers.flatMap((router) => [
         [router.frontendAddress, router],
-        [`${router.place.ip}:${router.place.ports.directory}`, router],
+        [`${router.options.ip}:${router.options.ports.directory}`, router],
       ]),
     );
   }
 
-  all(): Breach[] {
-    const { calls, answers, routers } = this.record;
+  all(): Violation[] {
+    const { calls, directoryResponses, routers } = this.record;
     return [
       ...calls.flatMap((call) => this.judgeCall(call)),
       ...this.record.observations.runs.flatMap((run) => this.judgeRun(run)),
-      ...answers.flatMap((answer) => this.judgeAnswer(answer)),
-      ...this.judgeBudget(),
-      ...this.judgeHolders(),
+      ...directoryResponses.flatMap((response) => this.judgeDirectoryResponse(response)),
+      ...this.judgeRetryBudget(),
+      ...this.judgeLeaseHolders(),
       ...this.judgeCrashes(),
-      ...routers.flatMap(({ crashes }) => crashes).map((detail) => breach('no-crash', detail)),
+      ...routers.flatMap(({ crashes }) => crashes).map((detail) => violation('no-crash', detail)),
       ...this.judgeWeights(),
-      ...this.judgeStrays(),
+      ...this.judgeMisdirectedRequests(),
       ...judgeNotices(this.record),
       ...judgeLimits(this.record),
-      ...this.judgeRest(),
+      ...this.judgeRecovery(),
     ];
   }
 
-  private judgeCall(call: CallRecord): Breach[] {
+  private judgeCall(call: CallRecord): Violation[] {
     const runs = this.runsById.get(call.id) ?? [];
     const isRepeatable = call.kind === 'plain-safe' || call.kind === 'stream-resumable';
-    const breaches: Breach[] = [];
+    const violations: Violation[] = [];
     if (!isRepeatable && runs.length > 1) {
-      breaches.push(breach('at-most-once', `${call.id} (${call.kind}) ran ${runs.length} times`));
+      violations.push(
+        violation('at-most-once', `${call.id} (${call.kind}) ran ${runs.length} times`),
+      );
     }
-    if (!isRepeatable && runs.length > 0 && PROMISE_STATUSES.has(call.status ?? 0)) {
-      breaches.push(breach('not-run', `${call.id} got ${call.status} and ran`));
+    if (!isRepeatable && runs.length > 0 && NOT_EXECUTED_STATUSES.has(call.status ?? 0)) {
+      violations.push(violation('not-run', `${call.id} got ${call.status} and ran`));
     }
-    if (call.status === 200 && !isBodyRight(call)) {
-      breaches.push(breach('whole-answer', `${call.id} (${call.kind}): "${call.body}"`));
+    if (call.status === 200 && !isBodyCorrect(call)) {
+      violations.push(violation('whole-answer', `${call.id} (${call.kind}): "${call.body}"`));
     }
     if (this.isCutByStop(call, runs)) {
-      breaches.push(breach('planned-stop', `${call.id} at ${call.router}: ${call.failure}`));
+      violations.push(violation('planned-stop', `${call.id} at ${call.router}: ${call.failure}`));
     }
-    return breaches;
+    return violations;
   }
 
-  /** Whether a planned stop, and nothing else that is known, ended the call without an answer. */
+  /** Whether a planned stop, and no known fault, ended the call without a response. */
   private isCutByStop(call: CallRecord, runs: readonly ReportedRun[]): boolean {
     const router = this.routersByAddress.get(call.router);
     const { failure, endedMs, sentMs } = call;
@@ -135,40 +137,48 @@
     }
     const graceMs = BOUNDS.grace_s * MILLISECONDS_PER_SECOND;
     const isNearStop = router.stops.some((atMs) => atMs <= endedMs && endedMs <= atMs + graceMs);
-    const wasTaken = runs.length > 0 || endedMs - sentMs > LOSS_SLACK_MS;
-    if (!isNearStop || !wasTaken) return false;
-    return !this.isDisturbed(router, sentMs, endedMs) && !this.hasEngineTrouble(sentMs, endedMs);
+    const wasAccepted = runs.length > 0 || endedMs - sentMs > LOSS_SLACK_MS;
+    if (!isNearStop || !wasAccepted) return false;
+    return !this.isDisturbed(router, sentMs, endedMs) && !this.hasEngineFault(sentMs, endedMs);
   }
 
-  private judgeRun(run: ReportedRun): Breach[] {
+  private judgeRun(run: ReportedRun): Violation[] {
     const call = this.callsById.get(run.requestId);
     const router = call && this.routersByAddress.get(call.router);
-    if (!call || !router) return [breach('whole-answer', `${run.requestId} was never sent`)];
-    const breaches: Breach[] = [];
+    if (!call || !router) return [violation('whole-answer', `${run.requestId} was never sent`)];
+    const violations: Violation[] = [];
     const drainedMs = this.record.observations.drains.get(run.engineId) ?? Infinity;
     const lateMs = run.startedMs - drainedMs - BOUNDS.drain_ms;
     if (lateMs > SLACK_MS && !this.isDisturbed(router, run.startedMs, run.startedMs)) {
-      breaches.push(breach('engine-drained', `${call.id} at ${run.engineId}, ${lateMs} ms late`));
+      violations.push(
+        violation('engine-drained', `${call.id} at ${run.engineId}, ${lateMs} ms late`),
+      );
     }
     for (const { key, atMs, untilMs } of this.record.observations.keyRemovals) {
-      const isGone = key === call.key.key && call.sentMs > atMs + BOUNDS.revoke_ms + SLACK_MS;
-      if (!isGone || run.startedMs > (untilMs ?? Infinity)) continue;
-      breaches.push(breach('key-removed', `${call.id} ran ${run.startedMs - atMs} ms after`));
+      const isRevoked = key === call.key.key && call.sentMs > atMs + BOUNDS.revoke_ms + SLACK_MS;
+      if (!isRevoked || run.startedMs > (untilMs ?? Infinity)) continue;
+      violations.push(
+        violation('key-removed', `${call.id} ran ${run.startedMs - atMs} ms after the removal`),
+      );
     }
-    return breaches;
+    return violations;
   }
 
-  private judgeAnswer({ router: address, addresses, atMs }: DirectoryRecord): Breach[] {
+  private judgeDirectoryResponse({
+    router: address,
+    addresses,
+    atMs,
+  }: DirectoryResponse): Violation[] {
     const router = this.routersByAddress.get(address);
     if (!router || this.isDisturbed(router, atMs, atMs)) return [];
-    return addresses.flatMap((named) => {
-      const offMs = this.offForMs(named, atMs);
-      if (offMs <= DIRECTORY_BOUND_MS + SLACK_MS) return [];
-      return [breach('directory', `${address} names ${named}, down for ${offMs} ms`)];
+    return addresses.flatMap((listed) => {
+      const downMs = this.downForMs(listed, atMs);
+      if (downMs <= DIRECTORY_BOUND_MS + SLACK_MS) return [];
+      return [violation('directory', `${address} lists ${listed}, down for ${downMs} ms`)];
     });
   }
 
-  private offForMs(address: string, atMs: number): number {
+  private downForMs(address: string, atMs: number): number {
     const disturbances = this.routersByAddress.get(address)?.disturbances ?? [];
     const down = disturbances.find(
       ({ kind, fromMs, untilMs }) =>
@@ -177,125 +187,146 @@
     return down ? atMs - down.fromMs : 0;
   }
 
-  /** Repeats of a service in any window, over all routers. */
-  private judgeBudget(): Breach[] {
+  /** Checks the retries of each service, over all routers, in each window. */
+  private judgeRetryBudget(): Violation[] {
     const windowMs = BOUNDS.retry_window_s * MILLISECONDS_PER_SECOND;
     const services = new Set(this.record.observations.arrivals.map(({ service }) => service));
     return [...services].flatMap((service) => {
       const arrivals = this.record.observations.arrivals.filter(
         (arrival) => arrival.service === service,
       );
-      const seen = new Set<string>();
-      const repeats: number[] = [];
-      const firsts: number[] = [];
+      const seenIds = new Set<string>();
+      const retries: number[] = [];
+      const firstAttempts: number[] = [];
       for (const { requestId, atMs } of arrivals) {
-        (seen.has(requestId) ? repeats : firsts).push(atMs);
-        seen.add(requestId);
+        (seenIds.has(requestId) ? retries : firstAttempts).push(atMs);
+        seenIds.add(requestId);
       }
-      const worst = repeats.find((fromMs) => {
-        const within = (atMs: number): boolean => atMs >= fromMs && atMs < fromMs + windowMs;
+      const exceededFromMs = retries.find((fromMs) => {
+        const isInWindow = (atMs: number): boolean => atMs >= fromMs && atMs < fromMs + windowMs;
         const allowed =
-          BOUNDS.retry_budget_ratio * firsts.filter(within).length + BOUNDS.retry_slack;
-        return repeats.filter(within).length > allowed;
+          BOUNDS.retry_budget_ratio * firstAttempts.filter(isInWindow).length + BOUNDS.retry_slack;
+        return retries.filter(isInWindow).length > allowed;
       });
-      return worst === undefined ? [] : [breach('retry-budget', `${service} from ${worst}`)];
+      return exceededFromMs === undefined
+        ? []
+        : [violation('retry-budget', `${service} from ${exceededFromMs}`)];
     });
   }
 
-  private judgeHolders(): Breach[] {
+  private judgeLeaseHolders(): Violation[] {
     const holders = new Map<number, string>();
-    return this.record.observations.orders.flatMap(({ holder, token, engineId }) => {
-      const known = holders.get(token) ?? holder;
-      holders.set(token, known);
-      if (known === holder) return [];
-      return [breach('one-holder', `token ${token} of ${known} and ${holder} at ${engineId}`)];
+    return this.record.observations.loadCommands.flatMap(({ holder, token, engineId }) => {
+      const firstHolder = holders.get(token) ?? holder;
+      holders.set(token, firstHolder);
+      if (firstHolder === holder) return [];
+      return [
+        violation('one-holder', `token ${token} of ${firstHolder} and ${holder} at ${engineId}`),
+      ];
     });
   }
 
-  /** A request under which three engines have ended reaches at most three more, a while later. */
-  private judgeCrashes(): Breach[] {
+  /** A request that crashed three engines may run at most three more times after a delay. */
+  private judgeCrashes(): Violation[] {
     const { crashes, runs } = this.record.observations;
-    const nameOf = (requestId: string): string => {
+    const requestKeyOf = (requestId: string): string => {
       const call = this.callsById.get(requestId);
       return call ? [call.kind, call.key.tenant, call.sentBody].join(' ') : requestId;
     };
-    return [...new Set(crashes.map(({ requestId }) => nameOf(requestId)))].flatMap((name) => {
-      const ends = crashes.filter(({ requestId }) => nameOf(requestId) === name);
-      const thirdMs = ends.map(({ atMs }) => atMs).sort((a, b) => a - b)[CRASHES_TO_KNOW - 1];
-      const knownMs = (thirdMs ?? Infinity) + CONTACT_MS;
+    return [...new Set(crashes.map(({ requestId }) => requestKeyOf(requestId)))].flatMap((name) => {
+      const reports = crashes.filter(({ requestId }) => requestKeyOf(requestId) === name);
+      const quarantinedMs = reports.map(({ atMs }) => atMs).sort((a, b) => a - b)[
+        QUARANTINE_CRASHES - 1
+      ];
+      const enforcedMs = (quarantinedMs ?? Infinity) + RECOVERY_MS;
       const late = runs.filter(
         ({ requestId, startedMs }) =>
-          startedMs > knownMs &&
-          nameOf(requestId) === name &&
-          !this.isExcused(requestId, startedMs),
+          startedMs > enforcedMs &&
+          requestKeyOf(requestId) === name &&
+          !this.isExempt(requestId, startedMs),
       );
-      if (late.length <= MAXIMUM_LATE_CRASHES) return [];
-      return [breach('crashes-bounded', `${name}: ${late.length} runs later, ${ends.length} ends`)];
+      if (late.length <= MAXIMUM_QUARANTINED_RUNS) return [];
+      return [
+        violation(
+          'crashes-bounded',
+          `${name}: ${late.length} runs in quarantine, ${reports.length} crashes`,
+        ),
+      ];
     });
   }
 
-  private isExcused(requestId: string, atMs: number): boolean {
+  private isExempt(requestId: string, atMs: number): boolean {
     const call = this.callsById.get(requestId);
     const router = call && this.routersByAddress.get(call.router);
     return router === undefined || this.isDisturbed(router, atMs, atMs);
   }
 
-  /** Once everything has come to rest, each engine's present life has the newest weights. */
-  private judgeWeights(): Breach[] {
-    const { named, engines } = this.record.weightsAtRest;
+  /** After the last fault each engine must have the newest weights. */
+  private judgeWeights(): Violation[] {
+    const { published, engines } = this.record.finalWeights;
     return engines
-      .filter(({ version }) => version < named)
-      .map(({ name, version }) => breach('weights-in-force', `${name} has ${version} of ${named}`));
+      .filter(({ version }) => version < published)
+      .map(({ name, version }) =>
+        violation('weights-in-force', `${name} has version ${version} instead of ${published}`),
+      );
   }
 
-  /** An entry of another writer names no engine to use. */
-  private judgeStrays(): Breach[] {
-    return this.record.observations.strays
-      .filter(({ named }) => named.startsWith(ODD_NAME))
-      .map(({ requestId, named }) => breach('odd-entry-unused', `${requestId} sent to ${named}`));
+  /** No request may be sent to an engine that only a malformed entry names. */
+  private judgeMisdirectedRequests(): Violation[] {
+    return this.record.observations.misdirectedRequests
+      .filter(({ named }) => named.startsWith(MALFORMED_NAME_PREFIX))
+      .map(({ requestId, named }) =>
+        violation('odd-entry-unused', `${requestId} sent to ${named}`),
+      );
   }
 
-  private judgeRest(): Breach[] {
-    const { callsAtRest } = this.record;
-    const served = callsAtRest.filter(({ status, isWhole }) => status === 200 && isWhole).length;
-    if (served >= callsAtRest.length * SERVED_AT_REST) return [];
-    const ends = callsAtRest.map(({ status, failure }) => failure ?? status).slice(0, 10);
-    return [breach('recovery', `${served} of ${callsAtRest.length} served: ${ends.join(', ')}`)];
+  private judgeRecovery(): Violation[] {
+    const { finalCalls } = this.record;
+    const served = finalCalls.filter(
+      ({ status, isComplete }) => status === 200 && isComplete,
+    ).length;
+    if (served >= finalCalls.length * FINAL_SERVED_SHARE) return [];
+    const endings = finalCalls.map(({ status, failure }) => failure ?? status).slice(0, 10);
+    return [
+      violation('recovery', `${served} of ${finalCalls.length} served: ${endings.join(', ')}`),
+    ];
   }
 
-  /** Whether the router need not keep its bounds at some moment of a span. */
+  /** Whether the router is exempt from its bounds at any time in a span. */
   private isDisturbed(router: RouterProcess, fromMs: number, toMs: number): boolean {
-    const overlaps = (beganMs: number, endedMs: number | undefined): boolean =>
-      beganMs <= toMs && fromMs <= (endedMs ?? Infinity) + CONTACT_MS;
-    const ownTrouble = router.disturbances.some((each) => overlaps(each.fromMs, each.untilMs));
-    const storeTrouble = this.record.observations.storeTroubles.some((each) =>
+    const overlaps = (spanStartMs: number, spanEndMs: number | undefined): boolean =>
+      spanStartMs <= toMs && fromMs <= (spanEndMs ?? Infinity) + RECOVERY_MS;
+    const hasOwnDisturbance = router.disturbances.some((each) =>
+      overlaps(each.fromMs, each.untilMs),
+    );
+    const hasStoreFault = this.record.observations.storeFaults.some((each) =>
       overlaps(each.fromMs, each.untilMs),
     );
-    // A planned stop is followed by a start, which takes up its beliefs anew.
+    // After a planned stop the router restarts and rebuilds its state.
     const isRestarting = router.stops.some((atMs) => {
       const graceMs = BOUNDS.grace_s * MILLISECONDS_PER_SECOND;
-      return fromMs > atMs + graceMs && overlaps(atMs + graceMs, atMs + graceMs + CONTACT_MS);
+      return fromMs > atMs + graceMs && overlaps(atMs + graceMs, atMs + graceMs + RECOVERY_MS);
     });
-    return ownTrouble || storeTrouble || isRestarting;
+    return hasOwnDisturbance || hasStoreFault || isRestarting;
   }
 
-  private hasEngineTrouble(fromMs: number, toMs: number): boolean {
-    return this.record.observations.engineTroubles.some(
-      (each) => each.fromMs <= toMs && fromMs <= each.untilMs + CONTACT_MS,
+  private hasEngineFault(fromMs: number, toMs: number): boolean {
+    return this.record.observations.engineFaults.some(
+      (each) => each.fromMs <= toMs && fromMs <= each.untilMs + RECOVERY_MS,
     );
   }
 }
 
-function breach(promise: SoakPromise, detail: string): Breach {
+function violation(promise: SoakPromise, detail: string): Violation {
   return { promise, detail };
 }
 
-/** A whole answer is all of the engine's; one that was cut is a beginning of it. */
-function isBodyRight({ id, kind, sentBody, body, isWhole }: CallRecord): boolean {
-  const whole = kind.startsWith('stream')
+/** A complete response must equal the engine's; an incomplete one must be a prefix of it. */
+function isBodyCorrect({ id, kind, sentBody, body, isComplete }: CallRecord): boolean {
+  const expectedBody = kind.startsWith('stream')
     ? Array.from({ length: STREAM_EVENTS }, (_, index) => eventOf(id, index + 1)).join('')
     : `${id}:${sentBody}`;
-  return isWhole ? body === whole : whole.startsWith(body);
+  return isComplete ? body === expectedBody : expectedBody.startsWith(body);
 }
 
 function eventOf(id: string, number: number): string {
--- a/soak/router-process.ts
+++ b/soak/router-process.ts
@@ -1,42 +1,41 @@
-/** One machine of the soak: the program of the bundle, started again whenever it ends. */
+/** A router process of the soak, restarted whenever it exits. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { createWriteStream, mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 
-/** A process that ended is started again after this. */
-const RESTART_MS = 300;
+const RESTART_DELAY_MS = 300;
 
-/** What disturbs a router without plan. */
+/** Kinds of unplanned faults of a router. */
 export enum DisturbanceKind {
   Down = 'down',
   Frozen = 'frozen',
-  /** Its way to the store is faulty. */
-  StoreWay = 'store-way',
+  /** Its link to the store is faulty. */
+  StoreLink = 'store-way',
 }
 
-/** A span in which a router was disturbed; not ended while `untilMs` is undefined. */
+/** Span of a fault of a router; `untilMs` is undefined until it ends. */
 export interface Disturbance {
   readonly kind: DisturbanceKind;
   readonly fromMs: number;
   untilMs: number | undefined;
 }
 
-/** Where the machine listens and what it is told. */
-export interface RouterPlace {
+/** Addresses, settings and builds of a router. */
+export interface RouterOptions {
   readonly name: string;
-  /** Its own address of the loopback range. */
+  /** Loopback address of this router. */
   readonly ip: string;
   readonly ports: { readonly frontend: number; readonly directory: number; readonly ready: number };
   readonly gossipPort: number;
   readonly storeAddress: string;
   readonly seeds: readonly string[];
   readonly folder: string;
-  /** Files of the program's builds, one after the other with each start. */
+  /** Files of the program's builds; each start uses the next one. */
   readonly programs: readonly string[];
 }
 
-/** Bounds of the soak's deployment, as the settings of the users' platform name them. */
+/** Bounds of the soak's deployment, with the keys of the settings. */
 export const BOUNDS = {
   contact_ms: 3_000,
   drain_ms: 2_000,
@@ -49,32 +48,32 @@
   grace_s: 8,
 } as const;
 
-/** Bounds are met with this much more on a machine that is busy with many processes. */
+/** Tolerance on all bounds, for busy machines. */
 export const SLACK_MS = 1_500;
 
-/** A router's machine. */
+/** A router process and its restarts. */
 export class RouterProcess {
   private child: ChildProcess | undefined;
-  private isOver = false;
-  private restartAfterMs = RESTART_MS;
-  private starts = 0;
-  /** Unplanned: kills, freezes, starts after a kill. */
+  private isEnded = false;
+  private restartDelayMs = RESTART_DELAY_MS;
+  private startCount = 0;
+  /** Kills with the restart after them, freezes, and faults of the link to the store. */
   readonly disturbances: Disturbance[] = [];
-  /** Moments of SIGTERM. */
+  /** Times of SIGTERM. */
   readonly stops: number[] = [];
-  /** Ends that nobody asked for, with their code. */
+  /** Descriptions of unexpected exits. */
   readonly crashes: string[] = [];
-  private isEndExpected = false;
-  /** Whether the present process has written a line. */
-  private hasBegun = false;
+  private isExitExpected = false;
+  /** Whether the current process has written to its standard output. */
+  private hasOutput = false;
 
-  constructor(readonly place: RouterPlace) {
-    mkdirSync(place.folder, { recursive: true });
+  constructor(readonly options: RouterOptions) {
+    mkdirSync(options.folder, { recursive: true });
     writeFileSync(this.settingsFile, JSON.stringify(this.settings()));
   }
 
   get frontendAddress(): string {
-    return `${this.place.ip}:${this.place.ports.frontend}`;
+    return `${this.options.ip}:${this.options.ports.frontend}`;
   }
 
   get isRunning(): boolean {
@@ -82,15 +81,15 @@
   }
 
   get logFile(): string {
-    return join(this.place.folder, `${this.place.name}.log`);
+    return join(this.options.folder, `${this.options.name}.log`);
   }
 
   start(): void {
-    if (this.isOver || this.child) return;
+    if (this.isEnded || this.child) return;
     const log = createWriteStream(this.logFile, { flags: 'a' });
-    const { programs } = this.place;
-    const program = programs[this.starts % programs.length] as string;
-    this.starts += 1;
+    const { programs } = this.options;
+    const program = programs[this.startCount % programs.length] as string;
+    this.startCount += 1;
     const child = spawn(process.execPath, ['--max-old-space-size=200', program], {
       env: { PATH: process.env.PATH, PEATSPAN_BOOT: this.settingsFile },
       stdio: ['ignore', 'pipe', 'pipe'],
@@ -98,29 +97,29 @@
     child.stdout.pipe(log);
     child.stderr.pipe(log);
     child.once('exit', (code, signal) => this.onExit(code, signal));
-    child.stdout.once('data', () => (this.hasBegun = true));
-    this.hasBegun = false;
+    child.stdout.once('data', () => (this.hasOutput = true));
+    this.hasOutput = false;
     this.child = child;
   }
 
-  /** SIGTERM: a planned stop. */
+  /** Stops the process as planned, with SIGTERM. */
   stop(): void {
     if (!this.child) return;
-    this.isEndExpected = true;
+    this.isExitExpected = true;
     this.stops.push(Date.now());
     this.child.kill('SIGTERM');
   }
 
-  /** SIGKILL; it stays down for a while. */
+  /** Kills the process with SIGKILL; it restarts after `downMs`. */
   kill(downMs: number): void {
     if (!this.child) return;
-    this.isEndExpected = true;
-    this.restartAfterMs = downMs;
+    this.isExitExpected = true;
+    this.restartDelayMs = downMs;
     this.disturb(DisturbanceKind.Down);
     this.child.kill('SIGKILL');
   }
 
-  /** SIGSTOP, and SIGCONT after a while. */
+  /** Suspends the process with SIGSTOP for a while. */
   freeze(forMs: number): void {
     const { child } = this;
     if (!child) return;
@@ -132,21 +131,24 @@
     }, forMs);
   }
 
-  /** Notes that the router is disturbed from now on; the caller sets the end. */
+  /** Records the start of a fault; the caller sets its end. */
   disturb(kind: DisturbanceKind): Disturbance {
     const disturbance: Disturbance = { kind, fromMs: Date.now(), untilMs: undefined };
     this.disturbances.push(disturbance);
     return disturbance;
   }
 
-  /** SIGHUP: the settings file is read again. Before its first line a process has no code that could take it. */
+  /**
+   * Reloads the settings with SIGHUP. Does nothing before the first output of the process, because
+   * its signal handler may be missing until then.
+   */
   reload(): void {
-    if (this.hasBegun) this.child?.kill('SIGHUP');
+    if (this.hasOutput) this.child?.kill('SIGHUP');
   }
 
-  /** Ends the process for good. */
+  /** Ends the process without a restart. */
   async end(): Promise<void> {
-    this.isOver = true;
+    this.isEnded = true;
     const { child } = this;
     if (!child) return;
     const exited = once(child, 'exit');
@@ -156,31 +158,31 @@
   }
 
   private get settingsFile(): string {
-    return join(this.place.folder, `${this.place.name}.json`);
+    return join(this.options.folder, `${this.options.name}.json`);
   }
 
   private onExit(code: number | null, signal: NodeJS.Signals | null): void {
     this.child = undefined;
-    if (!this.isEndExpected && !this.isOver) {
-      this.crashes.push(`${this.place.name} ended by itself: code ${code} signal ${signal}`);
+    if (!this.isExitExpected && !this.isEnded) {
+      this.crashes.push(`${this.options.name} exited unexpectedly: code ${code} signal ${signal}`);
     }
-    this.isEndExpected = false;
-    const afterMs = this.restartAfterMs;
-    this.restartAfterMs = RESTART_MS;
+    this.isExitExpected = false;
+    const delayMs = this.restartDelayMs;
+    this.restartDelayMs = RESTART_DELAY_MS;
     setTimeout(() => {
       this.start();
       this.endProcessDisturbances();
-    }, afterMs);
+    }, delayMs);
   }
 
   private endProcessDisturbances(): void {
     for (const disturbance of this.disturbances) {
-      if (disturbance.kind !== DisturbanceKind.StoreWay) disturbance.untilMs ??= Date.now();
+      if (disturbance.kind !== DisturbanceKind.StoreLink) disturbance.untilMs ??= Date.now();
     }
   }
 
   private settings(): object {
-    const { name, ip, ports, gossipPort, storeAddress, seeds } = this.place;
+    const { name, ip, ports, gossipPort, storeAddress, seeds } = this.options;
     return {
       node_name: name,
       role: 'router',
--- a/soak/schedule.ts
+++ b/soak/schedule.ts
@@ -1,68 +1,72 @@
-/** A seeded series of faults and planned work; they overlap. */
+/** A seeded schedule of overlapping faults and planned operations. */
 import type { RandomSource } from '../src/runtime/random.js';
 import { randomElement, randomInteger } from '../src/runtime/random.js';
-import { type CallKind, KINDS } from './callers.js';
+import { type CallKind, CALL_KINDS } from './callers.js';
 import type { Deployment } from './deployment.js';
-import { CRASHING_BODY, EngineBehavior } from './messages.js';
-import { ENGINE_LIMIT_MAKERS } from './engine-limit-steps.js';
-import { ENGINE_LIFE_MAKERS } from './engine-life-steps.js';
-import { ENGINE_NOTICE_MAKERS } from './engine-notice-steps.js';
+import { CRASHING_BODY_PREFIX, EngineBehavior } from './messages.js';
+import { ENGINE_LIMIT_STEPS } from './engine-limit-steps.js';
+import { ENGINE_RESTART_STEPS } from './engine-life-steps.js';
+import { ENGINE_NOTICE_STEPS } from './engine-notice-steps.js';
 import { DisturbanceKind } from './router-process.js';
-import { STORE_RESTORATION_MAKERS } from './store-restoration-steps.js';
+import { STORE_RESTORATION_STEPS } from './store-restoration-steps.js';
 import { ProxyMode } from './tcp-proxy.js';
 
-/** Sends one request again and again, under new identifiers and to whatever routers are found. */
+/** Sends one request repeatedly, with new identifiers, to routers that the directory lists. */
 export type Resender = (
   request: { readonly kind: CallKind; readonly body: string },
   times: number,
   gapMs: number,
 ) => Promise<void>;
 
-/** Something that is done to the deployment. */
+/** A fault or operation on the deployment. */
 export interface Step {
-  /** From the start of the traffic, in milliseconds. */
+  /** Time since the start of the traffic. */
   readonly atMs: number;
   readonly name: string;
   run(deployment: Deployment, resender: Resender): void | Promise<void>;
 }
 
-/** What a series is drawn for. */
+/** Options of a schedule. */
 export interface ScheduleOptions {
   readonly routers: number;
   readonly spanMs: number;
+  /** Whether engines restart under their names and malformed entries are written. */
   readonly hasEngineLives: boolean;
+  /** Whether engines drain during store outages and reject requests with retry delays. */
   readonly hasEngineNotices: boolean;
+  /** Whether engines announce limits on requests per second. */
   readonly hasEngineLimits: boolean;
+  /** Whether the store is restored from older copies of itself. */
   readonly hasStoreRestorations: boolean;
 }
 
-/** Routers that no unplanned fault strikes, so that something is served all the while. */
-const SPARED_ROUTERS = 1;
-const SHORTEST_MS = 300;
-const LONGEST_MS = 5_000;
-/** Longer than every bound of the deployment, with the slack of the oracle. */
-const LONG_MS = 9_000;
+/** Number of routers without unplanned faults, so that some requests succeed at all times. */
+const PROTECTED_ROUTERS = 1;
+const MINIMUM_FAULT_MS = 300;
+const MAXIMUM_FAULT_MS = 5_000;
+/** Longer than each bound of the deployment plus the slack of the oracle. */
+const LONG_FAULT_MS = 9_000;
 
 /** Draws one step. */
-export type Maker = (random: RandomSource, routers: number) => Omit<Step, 'atMs'>;
+export type StepFactory = (random: RandomSource, routers: number) => Omit<Step, 'atMs'>;
 
-/** A router that faults may strike; the first ones are spared. */
-function anyRouter(random: RandomSource, routers: number): number {
-  return SPARED_ROUTERS + randomInteger(random, Math.max(1, routers - SPARED_ROUTERS));
+/** Draws a router that is not protected from faults. */
+function drawRouter(random: RandomSource, routers: number): number {
+  return PROTECTED_ROUTERS + randomInteger(random, Math.max(1, routers - PROTECTED_ROUTERS));
 }
 
-function duration(random: RandomSource): number {
-  return Math.round(SHORTEST_MS + random.next() * (LONGEST_MS - SHORTEST_MS));
+function drawDuration(random: RandomSource): number {
+  return Math.round(MINIMUM_FAULT_MS + random.next() * (MAXIMUM_FAULT_MS - MINIMUM_FAULT_MS));
 }
 
-/** The way of one router to the store is faulty for a while. */
-function disturbStoreWay(
+/** Makes one router's link to the store faulty for a while. */
+function disturbStoreLink(
   deployment: Deployment,
   index: number,
   mode: ProxyMode,
   forMs: number,
 ): void {
-  const disturbance = deployment.routers[index]?.disturb(DisturbanceKind.StoreWay);
+  const disturbance = deployment.routers[index]?.disturb(DisturbanceKind.StoreLink);
   const proxy = deployment.storeProxy(index);
   proxy.mode = mode;
   setTimeout(() => {
@@ -71,30 +75,30 @@
   }, forMs);
 }
 
-const MAKERS: readonly Maker[] = [
+const COMMON_STEPS: readonly StepFactory[] = [
   (random, routers) => {
-    const index = anyRouter(random, routers);
+    const index = drawRouter(random, routers);
     return { name: `stop router-${index}`, run: ({ routers: all }) => all[index]?.stop() };
   },
   (random, routers) => {
-    const index = anyRouter(random, routers);
-    // Longer than the directory may go on naming it.
-    const downMs = random.next() < 0.5 ? duration(random) : LONG_MS;
+    const index = drawRouter(random, routers);
+    // The longer time exceeds the bound on listing a dead router in the directory.
+    const downMs = random.next() < 0.5 ? drawDuration(random) : LONG_FAULT_MS;
     return {
       name: `kill router-${index} for ${downMs} ms`,
       run: ({ routers: all }) => all[index]?.kill(downMs),
     };
   },
   (random, routers) => {
-    const index = anyRouter(random, routers);
-    const forMs = duration(random);
+    const index = drawRouter(random, routers);
+    const forMs = drawDuration(random);
     return {
       name: `freeze router-${index} for ${forMs} ms`,
       run: ({ routers: all }) => all[index]?.freeze(forMs),
     };
   },
   (_random, routers) => ({
-    name: 'stop all routers in turn',
+    name: 'stop all routers one by one',
     run: async ({ routers: all }) => {
       for (let index = 0; index < routers; index += 1) {
         all[index]?.stop();
@@ -103,41 +107,41 @@
     },
   }),
   (random) => ({
-    name: 'reload the settings of all',
+    name: 'reload the settings of most routers',
     run: ({ routers }) => {
       for (const router of routers) if (random.next() < 0.7) router.reload();
     },
   }),
   (random, routers) => {
-    const index = anyRouter(random, routers);
-    const forMs = duration(random);
-    const modes = [ProxyMode.Silent, ProxyMode.OneWay, ProxyMode.Slow, ProxyMode.Reset];
-    const mode = randomElement(random, modes) ?? ProxyMode.Silent;
+    const index = drawRouter(random, routers);
+    const forMs = drawDuration(random);
+    const modes = [ProxyMode.Blackhole, ProxyMode.OneWay, ProxyMode.Slow, ProxyMode.Reset];
+    const mode = randomElement(random, modes) ?? ProxyMode.Blackhole;
     return {
       name: `store ${mode} for router-${index} for ${forMs} ms`,
-      run: (deployment) => disturbStoreWay(deployment, index, mode, forMs),
+      run: (deployment) => disturbStoreLink(deployment, index, mode, forMs),
     };
   },
   (random) => {
-    const forMs = duration(random);
+    const forMs = drawDuration(random);
     const condition = random.next() < 0.5 ? 'silent' : 'busy';
     return {
       name: `store ${condition} for ${forMs} ms`,
-      run: (deployment) => deployment.troubleStore(condition, forMs),
+      run: (deployment) => deployment.disruptStore(condition, forMs),
     };
   },
   (random) => {
     const delaysMs = Array.from({ length: 6 }, () => randomInteger(random, 900));
     return {
-      name: `store forgets its history, lists late by ${delaysMs.join(',')}`,
+      name: `store drops its history, lists delayed by ${delaysMs.join(',')} ms`,
       run: (deployment) => {
-        deployment.tellStore({ kind: 'delay-lists', delaysMs });
-        deployment.tellStore({ kind: 'compact' });
+        deployment.sendToStore({ kind: 'delay-lists', delaysMs });
+        deployment.sendToStore({ kind: 'compact' });
       },
     };
   },
   (random) => ({
-    name: 'an engine is replaced as planned',
+    name: 'an engine is drained and replaced',
     run: (deployment) => {
       const engine = randomElement(random, deployment.fleet.running);
       return engine && deployment.fleet.replace(engine);
@@ -151,28 +155,28 @@
     },
   }),
   (random) => {
-    const forMs = duration(random);
+    const forMs = drawDuration(random);
     const behavior = randomElement(random, Object.values(EngineBehavior)) ?? EngineBehavior.Busy;
     return {
       name: `an engine is ${behavior} for ${forMs} ms`,
       run: (deployment) => {
         const engine = randomElement(random, deployment.fleet.running);
         if (!engine) return;
-        deployment.fleet.behave(engine, behavior);
-        deployment.fleet.noteTrouble(forMs);
-        setTimeout(() => deployment.fleet.behave(engine, EngineBehavior.Sound), forMs);
+        deployment.fleet.setBehavior(engine, behavior);
+        deployment.fleet.recordFault(forMs);
+        setTimeout(() => deployment.fleet.setBehavior(engine, EngineBehavior.Healthy), forMs);
       },
     };
   },
   (random) => {
-    const forMs = duration(random);
-    const mode = randomElement(random, [ProxyMode.Silent, ProxyMode.Reset, ProxyMode.Slow]);
+    const forMs = drawDuration(random);
+    const mode = randomElement(random, [ProxyMode.Blackhole, ProxyMode.Reset, ProxyMode.Slow]);
     return {
-      name: `way to an engine ${mode ?? ''} for ${forMs} ms`,
+      name: `link to an engine ${mode ?? ''} for ${forMs} ms`,
       run: (deployment) => {
         const engine = randomElement(random, deployment.fleet.running);
         if (!engine || !mode) return;
-        deployment.fleet.noteTrouble(forMs, engine);
+        deployment.fleet.recordFault(forMs, engine);
         engine.proxy.mode = mode;
         setTimeout(() => (engine.proxy.mode = ProxyMode.Pass), forMs);
       },
@@ -183,38 +187,33 @@
     return { name: `toggle ${key}`, run: (deployment) => deployment.toggleKey(key) };
   },
   (random, routers) => {
-    const index = anyRouter(random, routers);
+    const index = drawRouter(random, routers);
     const key = randomElement(random, ['key-1b', 'key-2b']) ?? 'key-1b';
     return {
-      name: `toggle ${key} while router-${index} has no way to the store`,
+      name: `toggle ${key} while router-${index} cannot reach the store`,
       run: async (deployment) => {
-        disturbStoreWay(deployment, index, ProxyMode.Silent, LONG_MS);
+        disturbStoreLink(deployment, index, ProxyMode.Blackhole, LONG_FAULT_MS);
         await deployment.toggleKey(key);
       },
     };
   },
   (random) => {
-    const kind = randomElement(random, KINDS) ?? 'stream-once';
-    // Some reach into the time after the last fault, when every router is held to its bounds.
+    const kind = randomElement(random, CALL_KINDS) ?? 'stream-once';
+    // Some runs extend beyond the last fault, when no router is exempt from its bounds.
     const times = 6 + randomInteger(random, 45);
     const gapMs = 50 + randomInteger(random, 700);
-    const body = `${CRASHING_BODY}-${randomInteger(random, 2)}`;
+    const body = `${CRASHING_BODY_PREFIX}-${randomInteger(random, 2)}`;
     return {
-      name: `${kind} that crashes engines, ${times} times each ${gapMs} ms`,
+      name: `${kind} that crashes engines, ${times} times, every ${gapMs} ms`,
       run: (_deployment, resend) => resend({ kind, body }, times, gapMs),
     };
   },
-  () => ({ name: 'name weights', run: (deployment) => deployment.nameWeights() }),
+  () => ({ name: 'publish weights', run: (deployment) => deployment.publishWeights() }),
 ];
 
 /**
- * Steps for a span; each comes up to two seconds after the one before.
- *
- * @param hasEngineLives whether engines restart under their names and odd entries are written, too; a seed
- *   that was found without these steps means the same series only without them
- * @param hasEngineNotices whether engines leave while the store is out, and ask for pauses; as above
- * @param hasEngineLimits whether engines name limits on requests a second; as above
- * @param hasStoreRestorations whether the store comes back from older copies of itself; as above
+ * Draws the steps of a schedule; each follows the previous one within two seconds. A seed gives the
+ * same steps only with the same options.
  */
 export function makeSchedule(
   random: RandomSource,
@@ -227,19 +226,19 @@
     hasStoreRestorations,
   }: ScheduleOptions,
 ): Step[] {
-  const makers = [
-    ...MAKERS,
-    ...(hasEngineLives ? ENGINE_LIFE_MAKERS : []),
-    ...(hasEngineNotices ? ENGINE_NOTICE_MAKERS : []),
-    ...(hasEngineLimits ? ENGINE_LIMIT_MAKERS : []),
-    ...(hasStoreRestorations ? STORE_RESTORATION_MAKERS : []),
+  const factories = [
+    ...COMMON_STEPS,
+    ...(hasEngineLives ? ENGINE_RESTART_STEPS : []),
+    ...(hasEngineNotices ? ENGINE_NOTICE_STEPS : []),
+    ...(hasEngineLimits ? ENGINE_LIMIT_STEPS : []),
+    ...(hasStoreRestorations ? STORE_RESTORATION_STEPS : []),
   ];
   const MAXIMUM_GAP_MS = 2_000;
   const steps: Step[] = [];
   let atMs = 1_000;
   while (atMs < spanMs) {
-    const make = randomElement(random, makers) as Maker;
-    steps.push({ atMs, ...make(random, routers) });
+    const createStep = randomElement(random, factories) as StepFactory;
+    steps.push({ atMs, ...createStep(random, routers) });
     atMs += Math.round(random.next() * MAXIMUM_GAP_MS);
   }
   return steps;
--- a/soak/soak-run.ts
+++ b/soak/soak-run.ts
@@ -1,46 +1,46 @@
-/** One soak with one seed: processes, callers, the series of faults, the verdict. */
+/** Runs one soak with one seed: processes, callers, faults and the check of the promises. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { SeededRandom } from '../src/runtime/random.js';
-import { type CallRecord, Caller, type CallerKey, type DirectoryRecord } from './callers.js';
+import { type CallRecord, Caller, type CallerKey, type DirectoryResponse } from './callers.js';
 import { Deployment } from './deployment.js';
 import { weightsOf } from './engine-fleet.js';
-import { type Breach, judgeSoak } from './oracle.js';
+import { type Violation, judgeSoak } from './oracle.js';
 import { type Resender, makeSchedule } from './schedule.js';
 
-/** What a soak is made of. */
+/** Options of a soak. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Length of the series of faults. */
+  /** Duration of the faults. */
   readonly spanMs: number;
   readonly routers: number;
-  /** Whether engines restart under their names and odd entries are written. */
+  /** Whether engines restart under their names and malformed entries are written. */
   readonly hasEngineLives: boolean;
-  /** Whether engines leave while the store is out, and ask for pauses. */
+  /** Whether engines drain during store outages and reject requests with retry delays. */
   readonly hasEngineNotices: boolean;
-  /** Whether engines name limits on requests a second. */
+  /** Whether engines announce limits on requests per second. */
   readonly hasEngineLimits: boolean;
-  /** Whether the store comes back from older copies of itself. */
+  /** Whether the store is restored from older copies of itself. */
   readonly hasStoreRestorations: boolean;
   readonly callers: number;
-  /** For settings, logs and, where a promise was broken, all that is known. */
+  /** Directory of settings, logs and, after a violation, the evidence. */
   readonly folder: string;
-  /** Builds of the routers' program: they take them in turn, and each router the next one with each start. */
+  /** Builds of the routers' program, assigned round-robin; each restart uses the next one. */
   readonly programs: readonly string[];
 }
 
 /** The bundle that `npm run bundle` writes. */
 export const BUNDLE = fileURLToPath(new URL('../../target/peatspan.cjs', import.meta.url));
 
-/** How a soak ended. */
+/** Result of a soak. */
 export interface SoakResult {
   readonly seed: number;
   readonly calls: number;
-  /** Calls by status, or by how they failed. */
+  /** Number of calls by status or failure. */
   readonly outcomes: ReadonlyMap<string, number>;
   readonly steps: readonly string[];
-  readonly breaches: readonly Breach[];
+  readonly violations: readonly Violation[];
 }
 
 const KEYS: readonly CallerKey[] = [
@@ -49,15 +49,15 @@
   { tenant: 'tenant-2', key: 'key-2a' },
   { tenant: 'tenant-2', key: 'key-2b' },
 ];
-/** Keys that are never taken away. */
-const LASTING_KEYS = KEYS.filter(({ key }) => key.endsWith('a'));
-const STARTUP_LIMIT_MS = 20_000;
-const LONGEST_PAUSE_MS = 120;
-/** After the last fault everything comes to rest: a planned stop may take the whole grace time. */
+/** Keys that are never removed. */
+const PERMANENT_KEYS = KEYS.filter(({ key }) => key.endsWith('a'));
+const STARTUP_TIMEOUT_MS = 20_000;
+const MAXIMUM_PAUSE_MS = 120;
+/** Wait after the last fault; exceeds the grace time of a planned stop. */
 const SETTLING_MS = 14_000;
-const CALLS_AT_REST = 100;
+const FINAL_CALLS = 100;
 
-/** Runs the soak to its end; its processes have ended then. */
+/** Runs a soak; resolves after its processes have ended. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const { seed, spanMs, routers, folder, programs } = options;
   mkdirSync(folder, { recursive: true });
@@ -66,47 +66,48 @@
   try {
     const steps = makeSchedule(new SeededRandom(seed), options);
     const calls: CallRecord[] = [];
-    const answers: DirectoryRecord[] = [];
-    await untilServed(deployment, calls, answers);
-    const traffic = new Traffic(options, deployment, calls, answers);
+    const directoryResponses: DirectoryResponse[] = [];
+    await waitUntilServed(deployment, calls, directoryResponses);
+    const traffic = new Traffic(options, deployment, calls, directoryResponses);
     traffic.start();
     for (const step of steps) {
-      const resend: Resender = (...args) => traffic.sendAgain(...args);
+      const resend: Resender = (...args) => traffic.resend(...args);
       setTimeout(() => void Promise.resolve(step.run(deployment, resend)), step.atMs);
     }
     await pause(spanMs + SETTLING_MS);
     await traffic.stop();
-    const callsAtRest = await callAtRest(deployment, calls, answers);
-    const breaches = judgeSoak({
+    const finalCalls = await sendFinalCalls(deployment, calls, directoryResponses);
+    const violations = judgeSoak({
       calls,
-      answers,
+      directoryResponses,
       observations: deployment.observations,
       routers: deployment.routers,
-      weightsAtRest: {
-        named: deployment.namedVersion,
+      finalWeights: {
+        published: deployment.publishedVersion,
         engines: weightsOf(deployment.fleet.running),
       },
-      callsAtRest,
+      finalCalls,
     });
     const names = steps.map(({ atMs, name }) => `${atMs} ms ${name}`);
-    if (breaches.length > 0) keepEvidence(folder, deployment, calls, answers, names, breaches);
-    return { seed, calls: calls.length, outcomes: countOutcomes(calls), steps: names, breaches };
+    if (violations.length > 0)
+      writeEvidence(folder, deployment, calls, directoryResponses, names, violations);
+    return { seed, calls: calls.length, outcomes: countOutcomes(calls), steps: names, violations };
   } finally {
     await deployment.end();
   }
 }
 
-/** Callers that send one request after the other. */
+/** The callers of a soak. */
 class Traffic {
-  private isOver = false;
+  private isEnded = false;
   private loops: Promise<void>[] = [];
-  private resenders = 0;
+  private resenderCount = 0;
 
   constructor(
     private readonly options: SoakOptions,
     private readonly deployment: Deployment,
     private readonly calls: CallRecord[],
-    private readonly answers: DirectoryRecord[],
+    private readonly directoryResponses: DirectoryResponse[],
   ) {}
 
   start(): void {
@@ -115,24 +116,31 @@
       const random = new SeededRandom(seed * 1_000 + index);
       const { directories } = this.deployment;
       const name = `caller${index}`;
-      const caller = new Caller(name, directories, KEYS, random, this.calls, this.answers);
-      while (!this.isOver) {
+      const caller = new Caller(
+        name,
+        directories,
+        KEYS,
+        random,
+        this.calls,
+        this.directoryResponses,
+      );
+      while (!this.isEnded) {
         await caller.call();
-        await pause(random.next() * LONGEST_PAUSE_MS);
+        await pause(random.next() * MAXIMUM_PAUSE_MS);
       }
       caller.close();
     });
   }
 
-  /** A caller of its own sends the same request again and again, always with the same key. */
-  async sendAgain(...[request, times, gapMs]: Parameters<Resender>): Promise<void> {
-    this.resenders += 1;
-    const name = `again${this.resenders}`;
-    const random = new SeededRandom(this.options.seed * 1_000 + 500 + this.resenders);
+  /** Sends the same request repeatedly from a separate caller, with one key. */
+  async resend(...[request, times, gapMs]: Parameters<Resender>): Promise<void> {
+    this.resenderCount += 1;
+    const name = `again${this.resenderCount}`;
+    const random = new SeededRandom(this.options.seed * 1_000 + 500 + this.resenderCount);
     const { directories } = this.deployment;
-    const keys = LASTING_KEYS.slice(0, 1);
-    const caller = new Caller(name, directories, keys, random, this.calls, this.answers);
-    for (let count = 0; count < times && !this.isOver; count += 1) {
+    const keys = PERMANENT_KEYS.slice(0, 1);
+    const caller = new Caller(name, directories, keys, random, this.calls, this.directoryResponses);
+    for (let count = 0; count < times && !this.isEnded; count += 1) {
       await caller.call(request);
       await pause(gapMs);
     }
@@ -140,43 +148,57 @@
   }
 
   async stop(): Promise<void> {
-    this.isOver = true;
+    this.isEnded = true;
     await Promise.all(this.loops);
   }
 }
 
-async function callAtRest(
+async function sendFinalCalls(
   deployment: Deployment,
   calls: CallRecord[],
-  answers: DirectoryRecord[],
+  directoryResponses: DirectoryResponse[],
 ): Promise<CallRecord[]> {
-  const own: CallRecord[] = [];
+  const finalCalls: CallRecord[] = [];
   const random = new SeededRandom(1);
-  const caller = new Caller('rest', deployment.directories, LASTING_KEYS, random, own, answers);
-  for (let count = 0; count < CALLS_AT_REST; count += 1) await caller.call();
+  const caller = new Caller(
+    'rest',
+    deployment.directories,
+    PERMANENT_KEYS,
+    random,
+    finalCalls,
+    directoryResponses,
+  );
+  for (let count = 0; count < FINAL_CALLS; count += 1) await caller.call();
   caller.close();
-  calls.push(...own);
-  return own;
+  calls.push(...finalCalls);
+  return finalCalls;
 }
 
-/** Waits until a request is served; rejects where none is in time. */
-async function untilServed(
+/** Waits until a request succeeds; rejects after a timeout. */
+async function waitUntilServed(
   deployment: Deployment,
   calls: CallRecord[],
-  answers: DirectoryRecord[],
+  directoryResponses: DirectoryResponse[],
 ): Promise<void> {
-  const deadlineMs = Date.now() + STARTUP_LIMIT_MS;
+  const deadlineMs = Date.now() + STARTUP_TIMEOUT_MS;
   const random = new SeededRandom(1);
-  const caller = new Caller('start', deployment.directories, LASTING_KEYS, random, calls, answers);
+  const caller = new Caller(
+    'start',
+    deployment.directories,
+    PERMANENT_KEYS,
+    random,
+    calls,
+    directoryResponses,
+  );
   while (Date.now() < deadlineMs) {
     await caller.call();
     if (calls.at(-1)?.status === 200) {
       caller.close();
       return;
     }
-    await pause(LONGEST_PAUSE_MS);
+    await pause(MAXIMUM_PAUSE_MS);
   }
-  throw new Error('nothing was served after the start');
+  throw new Error('no request succeeded before the startup timeout');
 }
 
 function countOutcomes(calls: readonly CallRecord[]): Map<string, number> {
@@ -188,25 +210,25 @@
   return outcomes;
 }
 
-function keepEvidence(
+function writeEvidence(
   folder: string,
   { observations, routers }: Deployment,
   calls: readonly CallRecord[],
-  answers: readonly DirectoryRecord[],
+  directoryResponses: readonly DirectoryResponse[],
   steps: readonly string[],
-  breaches: readonly Breach[],
+  violations: readonly Violation[],
 ): void {
-  const disturbances = routers.map(({ place, disturbances: spans, stops }) => ({
-    router: place.name,
+  const disturbances = routers.map(({ options, disturbances: spans, stops }) => ({
+    router: options.name,
     spans,
     stops,
   }));
   const evidence = {
-    breaches,
+    breaches: violations,
     steps,
     disturbances,
     calls,
-    answers,
+    answers: directoryResponses,
     observations: { ...observations, drains: [...observations.drains] },
   };
   writeFileSync(join(folder, 'evidence.json'), JSON.stringify(evidence, undefined, 1));
--- a/soak/store-program.ts
+++ b/soak/store-program.ts
@@ -1,4 +1,4 @@
-/** A process that stands in for the platform's store: objects over HTTP, as the users' pages describe. */
+/** A fake of the platform's object store over HTTP. */
 import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { isDeepStrictEqual } from 'node:util';
@@ -9,16 +9,16 @@
 import { SystemClock } from '../src/runtime/clock.js';
 import { StorePosition } from '../src/runtime/store-position.js';
 import type { StoreCommand, StoreReport } from './messages.js';
-import { WireHeader, WireKind, answerJson, readBody } from './wire.js';
+import { WireHeader, WireKind, sendJson, readBody } from './wire.js';
 
-/** An engine's entry goes after three heartbeats without a write. */
+/** An engine's entry expires after three heartbeats without a write. */
 const ENTRY_LIFETIME_MS = 3_600;
 const EXPIRY_PERIOD_MS = 200;
 
 const clock = new SystemClock();
 const store = new SimulatedObjectStore(clock);
 const port = new SimulatedStorePort(store, 'any', new HostClock(clock));
-const writtenMs = new Map<string, number>();
+const lastWriteMs = new Map<string, number>();
 
 interface WrittenObject {
   readonly metadata: { readonly name: string; readonly revision?: number };
@@ -30,25 +30,25 @@
   return { metadata: { name, revision, finalizers: [], deleting: false }, spec, status: {} };
 }
 
-/** All answers say the era. */
-function answerStored(response: ServerResponse, status: number, body: unknown): void {
+/** All responses contain the store era. */
+function sendStoreResponse(response: ServerResponse, status: number, body: unknown): void {
   response.setHeader(WireHeader.storeEra, String(store.era));
-  answerJson(response, status, body);
+  sendJson(response, status, body);
 }
 
-async function answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+async function handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
   const url = new URL(request.url ?? '/', 'http://store');
   const [, , kind = '', name] = url.pathname.split('/');
   const body = await readBody(request);
-  if (request.method === 'GET') return answerRead(url, kind, name, response);
+  if (request.method === 'GET') return handleRead(url, kind, name, response);
   const written = JSON.parse(body || '{}') as WrittenObject;
   if (request.method === 'DELETE' && name) {
     store.remove(kind, name);
-    answerStored(response, 200, {});
-  } else await answerWrite(request.method ?? '', kind, written, response);
+    sendStoreResponse(response, 200, {});
+  } else await handleWrite(request.method ?? '', kind, written, response);
 }
 
-async function answerRead(
+async function handleRead(
   url: URL,
   kind: string,
   name: string | undefined,
@@ -56,72 +56,72 @@
 ): Promise<void> {
   if (name) {
     const { object } = await port.read(kind, name);
-    answerStored(response, object ? 200 : 404, object ? wireObject(object) : {});
+    sendStoreResponse(response, object ? 200 : 404, object ? wireObject(object) : {});
     return;
   }
   const since = url.searchParams.get('watch');
   if (since === null) {
     const { objects, position } = await port.list(kind);
-    answerStored(response, 200, {
+    sendStoreResponse(response, 200, {
       items: objects.map(wireObject),
       more: false,
       at: position.revision,
     });
     return;
   }
-  const asked = new StorePosition(store.era, Number(since));
-  const result = await port.watch(kind, asked, Number(url.searchParams.get('wait_ms')));
+  const requestedPosition = new StorePosition(store.era, Number(since));
+  const result = await port.watch(kind, requestedPosition, Number(url.searchParams.get('wait_ms')));
   if (result.kind === 'history-gone') {
-    answerStored(response, 410, {});
+    sendStoreResponse(response, 410, {});
     return;
   }
   const events = result.events.map(({ object, isGone }) => ({
     object: wireObject(object),
     gone: isGone,
   }));
-  answerStored(response, 200, { events, at: result.position.revision });
+  sendStoreResponse(response, 200, { events, at: result.position.revision });
 }
 
-async function answerWrite(
+async function handleWrite(
   method: string,
   kind: string,
   { metadata, spec }: WrittenObject,
   response: ServerResponse,
 ): Promise<void> {
   const { name, revision } = metadata;
-  if (kind === WireKind.engines) writtenMs.set(name, Date.now());
-  // Engines and the operator write without a condition.
+  if (kind === WireKind.engines) lastWriteMs.set(name, Date.now());
+  // Writes of engines and the operator are unconditional.
   if (method === 'PUT' && revision === undefined) {
     const isSame = isDeepStrictEqual(store.get(kind, name)?.spec, spec);
     if (store.isDown) throw new Error('down');
     if (!isSame) store.put(kind, name, spec);
     const object = await port.read(kind, name);
-    answerStored(response, 200, wireObject(object.object as StoredObject));
+    sendStoreResponse(response, 200, wireObject(object.object as StoredObject));
     return;
   }
   const result =
     method === 'POST'
       ? await port.create(kind, name, spec)
       : await port.replace(kind, name, spec, new StorePosition(store.era, revision ?? 0));
-  if (result.kind === 'written') answerStored(response, 200, wireObject(result.object));
-  else if (result.kind === 'missing') answerStored(response, 404, {});
-  else answerStored(response, 409, result.present ? wireObject(result.present) : {});
+  if (result.kind === 'written') sendStoreResponse(response, 200, wireObject(result.object));
+  else if (result.kind === 'missing') sendStoreResponse(response, 404, {});
+  else sendStoreResponse(response, 409, result.present ? wireObject(result.present) : {});
 }
 
 function expireEntries(): void {
-  // What could not be written does not run out here; on the platform it may.
+  // Entries do not expire while engines cannot write; the platform does not guarantee this.
   if (store.isDown || store.isBusy) {
-    for (const name of writtenMs.keys()) writtenMs.set(name, Date.now());
+    for (const name of lastWriteMs.keys()) lastWriteMs.set(name, Date.now());
     return;
   }
-  for (const [name, atMs] of writtenMs) {
+  for (const [name, atMs] of lastWriteMs) {
     if (Date.now() - atMs < ENTRY_LIFETIME_MS) continue;
-    writtenMs.delete(name);
+    lastWriteMs.delete(name);
     store.remove(WireKind.engines, name);
   }
 }
 
-function obey(command: StoreCommand): void {
+function handleCommand(command: StoreCommand): void {
   switch (command.kind) {
     case 'condition':
       store.isDown = command.condition === 'silent';
@@ -132,7 +132,7 @@
       return;
     case 'restore':
       store.restore(clock.now() - command.lostMs);
-      for (const { name } of store.all(WireKind.engines)) writtenMs.set(name, Date.now());
+      for (const { name } of store.all(WireKind.engines)) lastWriteMs.set(name, Date.now());
       return;
     case 'delay-lists':
       store.listDelaysMs.push(...command.delaysMs);
@@ -140,9 +140,9 @@
 }
 
 const server = createServer((request, response) => {
-  answer(request, response).catch(() => {
-    // Refused or silent: the caller sees a connection that ends without an answer, or 503.
-    if (store.isBusy) answerStored(response, 503, {});
+  handleRequest(request, response).catch(() => {
+    // The caller receives 503 if the store is busy; otherwise the connection is closed.
+    if (store.isBusy) sendStoreResponse(response, 503, {});
     else response.destroy();
   });
 });
@@ -153,6 +153,6 @@
   };
   process.send?.(report);
 });
-process.on('message', (command) => obey(command as StoreCommand));
+process.on('message', (command) => handleCommand(command as StoreCommand));
 process.on('disconnect', () => process.exit(0));
 setInterval(expireEntries, EXPIRY_PERIOD_MS);
--- a/soak/stream-events.ts
+++ b/soak/stream-events.ts
@@ -1,2 +1,2 @@
-/** Events of each stream that an engine of the soak sends. */
+/** Number of events in each stream of a fake engine. */
 export const STREAM_EVENTS = 12;
--- a/soak/tcp-proxy.ts
+++ b/soak/tcp-proxy.ts
@@ -1,36 +1,36 @@
-/** A loopback proxy that treats its connections as a faulty network does. */
+/** A loopback TCP proxy that simulates network faults. */
 import { type AddressInfo, type Server, type Socket, connect, createServer } from 'node:net';
 
-/** What becomes of the bytes. */
+/** How the proxy handles connections. */
 export enum ProxyMode {
   Pass = 'pass',
-  /** Connections stay open and say nothing, in both directions; new ones too. */
-  Silent = 'silent',
-  /** Requests go through, answers don't. */
+  /** Connections stay open and drop all bytes in both directions; new ones too. */
+  Blackhole = 'silent',
+  /** Requests are forwarded, responses are dropped. */
   OneWay = 'one-way',
-  /** Every answer comes later. */
+  /** Responses are delayed. */
   Slow = 'slow',
-  /** Every connection is reset, new ones at once. */
+  /** Open connections are reset, new ones immediately. */
   Reset = 'reset',
 }
 
-const SLOW_MS = 250;
+const SLOW_DELAY_MS = 250;
 
-interface Pair {
-  readonly near: Socket;
-  readonly far: Socket;
+interface ConnectionPair {
+  readonly client: Socket;
+  readonly target: Socket;
 }
 
-/** One proxied address. */
+/** A proxy for one target port. */
 export class TcpProxy {
   private readonly server: Server;
-  private readonly pairs = new Set<Pair>();
+  private readonly pairs = new Set<ConnectionPair>();
   private currentMode = ProxyMode.Pass;
   /** Where connections go; set once the target is known. */
   targetPort = 0;
 
   private constructor() {
-    this.server = createServer((near) => this.accept(near));
+    this.server = createServer((client) => this.accept(client));
   }
 
   static open(): Promise<TcpProxy> {
@@ -51,7 +51,7 @@
   set mode(mode: ProxyMode) {
     this.currentMode = mode;
     if (mode === ProxyMode.Reset) this.resetAll();
-    // What a silent connection held up is lost with it, as on a network that has healed.
+    // Connections that lost bytes must not continue.
     if (mode === ProxyMode.Pass) this.resetAll();
   }
 
@@ -59,8 +59,8 @@
   resetAll(): void {
     for (const pair of [...this.pairs]) {
       this.pairs.delete(pair);
-      reset(pair.near);
-      reset(pair.far);
+      reset(pair.client);
+      reset(pair.target);
     }
   }
 
@@ -69,55 +69,56 @@
     this.resetAll();
   }
 
-  private accept(near: Socket): void {
+  private accept(client: Socket): void {
     if (this.currentMode === ProxyMode.Reset) {
-      reset(near);
+      reset(client);
       return;
     }
-    const far = connect(this.targetPort, '127.0.0.1');
-    const pair = { near, far };
+    const target = connect(this.targetPort, '127.0.0.1');
+    const pair = { client, target };
     this.pairs.add(pair);
-    near.on('data', (chunk: Buffer) => {
-      if (this.currentMode !== ProxyMode.Silent) far.write(chunk);
+    client.on('data', (chunk: Buffer) => {
+      if (this.currentMode !== ProxyMode.Blackhole) target.write(chunk);
     });
-    far.on('data', (chunk: Buffer) => this.passBack(near, chunk));
-    this.joinEnds(pair, near, far);
-    this.joinEnds(pair, far, near);
+    target.on('data', (chunk: Buffer) => this.forwardResponse(client, chunk));
+    this.propagateClose(pair, client, target);
+    this.propagateClose(pair, target, client);
   }
 
-  private passBack(near: Socket, chunk: Buffer): void {
-    if (this.currentMode === ProxyMode.Silent || this.currentMode === ProxyMode.OneWay) return;
-    if (this.currentMode !== ProxyMode.Slow) near.write(chunk);
-    else setTimeout(() => near.writable && near.write(chunk), SLOW_MS);
+  private forwardResponse(client: Socket, chunk: Buffer): void {
+    if (this.currentMode === ProxyMode.Blackhole || this.currentMode === ProxyMode.OneWay) return;
+    if (this.currentMode !== ProxyMode.Slow) client.write(chunk);
+    else setTimeout(() => client.writable && client.write(chunk), SLOW_DELAY_MS);
   }
 
-  /** An end or a reset of one side is passed on to the other. */
-  private joinEnds(pair: Pair, side: Socket, other: Socket): void {
+  /** Propagates the end or reset of one side to the other. */
+  private propagateClose(pair: ConnectionPair, side: Socket, other: Socket): void {
     side.on('end', () => {
-      if (this.currentMode !== ProxyMode.Silent) setTimeout(() => other.end(), this.endDelayMs);
+      if (this.currentMode !== ProxyMode.Blackhole)
+        setTimeout(() => other.end(), this.closeDelayMs);
     });
-    // A reset of one side shows as a reset at the other; 'close' follows.
+    // 'close' follows 'error'.
     side.on('error', () => {
-      if (this.currentMode !== ProxyMode.Silent) reset(other);
+      if (this.currentMode !== ProxyMode.Blackhole) reset(other);
     });
     side.on('close', () => {
-      // The other side hears nothing while the way is silent; it is reset with the pair later.
-      if (this.currentMode === ProxyMode.Silent) return;
+      // A blackhole hides the close; the pair is reset when the mode changes.
+      if (this.currentMode === ProxyMode.Blackhole) return;
       this.pairs.delete(pair);
       if (side.errored) reset(other);
-      else setTimeout(() => other.destroySoon(), this.endDelayMs);
+      else setTimeout(() => other.destroySoon(), this.closeDelayMs);
     });
   }
 
-  /** An end does not overtake the bytes before it. */
-  private get endDelayMs(): number {
-    return this.currentMode === ProxyMode.Slow ? SLOW_MS + 1 : 0;
+  /** Delays the end as long as the bytes before it. */
+  private get closeDelayMs(): number {
+    return this.currentMode === ProxyMode.Slow ? SLOW_DELAY_MS + 1 : 0;
   }
 }
 
 /**
- * Resets a connection. One that has been ended is only closed: Node.js 20 can't reset it while its end is on
- * the way, and then keeps the socket open for good.
+ * Resets a connection, or destroys it if its writable side has ended: Node.js 20 never closes a
+ * socket that is reset while its FIN is pending.
  */
 function reset(socket: Socket): void {
   if (socket.writableEnded) socket.destroy();
--- a/soak/wire.ts
+++ b/soak/wire.ts
@@ -1,4 +1,4 @@
-/** Names of the users' protocol that the stand-ins speak, and small helpers for JSON over HTTP. */
+/** Protocol names used by the fake engines and store, and helpers for JSON over HTTP. */
 import { type IncomingMessage, type ServerResponse, request as httpRequest } from 'node:http';
 import { parseAddress } from '../src/transport/address.js';
 
@@ -36,14 +36,14 @@
 export const MODEL = 'model-a';
 export const HOST = 'soak.example';
 
-/** Reads a whole body. */
+/** Reads a complete body as text. */
 export async function readBody(message: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of message) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks).toString('utf8');
 }
 
-export function answerJson(response: ServerResponse, status: number, body: unknown): void {
+export function sendJson(response: ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body);
   response.writeHead(status, {
     'Content-Type': 'application/json',
@@ -52,7 +52,7 @@
   response.end(text);
 }
 
-/** One JSON call on a connection of its own; rejects where no whole answer comes in time. */
+/** Sends one JSON request on a new connection; rejects without a complete response in time. */
 export function callJson(
   address: string,
   method: string,
@@ -68,13 +68,13 @@
       { host, port, method, path, agent: false, timeout: timeoutMs, headers },
       (response) => {
         readBody(response).then(
-          (answer) =>
-            resolve({ status: response.statusCode ?? 0, body: JSON.parse(answer || '{}') }),
+          (responseBody) =>
+            resolve({ status: response.statusCode ?? 0, body: JSON.parse(responseBody || '{}') }),
           reject,
         );
       },
     );
-    request.on('timeout', () => request.destroy(new Error(`no answer of ${address}${path}`)));
+    request.on('timeout', () => request.destroy(new Error(`no response from ${address}${path}`)));
     request.on('error', reject);
     request.end(text);
   });
--- a/test/helpers/processes.ts
+++ b/test/helpers/processes.ts
@@ -1,9 +1,9 @@
-/** Starts the programs as processes of their own and reads what they log. */
+/** Starts programs as child processes and reads their logs. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
 const MAIN = fileURLToPath(new URL('../../src/main.js', import.meta.url));
-const START_LIMIT_MS = 20_000;
+const START_TIMEOUT_MS = 20_000;
 const POLL_MS = 20;
 
 /** A running program. */
@@ -23,7 +23,7 @@
     return this.output;
   }
 
-  /** Value of a field in the first line of an event. */
+  /** Waits for the first log line of an event and returns the value of a field. */
   async field(event: string, name: string): Promise<string> {
     const pattern = new RegExp(`event=${event} .*\\b${name}=(\\S+)`);
     return waitFor(() => pattern.exec(this.output)?.[1], `${event} in:\n${this.output}`);
@@ -34,27 +34,27 @@
   }
 }
 
-/** Polls until the probe answers something. */
-export async function waitFor<T>(probe: () => T | undefined, what: string): Promise<T> {
-  const deadlineMs = performance.now() + START_LIMIT_MS;
+/** Polls until the probe returns a value; throws after a timeout. */
+export async function waitFor<T>(probe: () => T | undefined, description: string): Promise<T> {
+  const deadlineMs = performance.now() + START_TIMEOUT_MS;
   for (;;) {
     const value = probe();
     if (value !== undefined) return value;
-    if (performance.now() > deadlineMs) throw new Error(`waited in vain for ${what}`);
+    if (performance.now() > deadlineMs) throw new Error(`timed out waiting for ${description}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
 
-/** Polls a URL until it answers 200. */
+/** Polls a URL until the status of its response is 2xx; throws after a timeout. */
 export async function waitUntilOk(url: string): Promise<void> {
-  const deadlineMs = performance.now() + START_LIMIT_MS;
+  const deadlineMs = performance.now() + START_TIMEOUT_MS;
   for (;;) {
     const ok = await fetch(url).then(
       (response) => response.ok,
       () => false,
     );
     if (ok) return;
-    if (performance.now() > deadlineMs) throw new Error(`${url} never answered 200`);
+    if (performance.now() > deadlineMs) throw new Error(`${url} did not respond with 2xx in time`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -1,4 +1,4 @@
-/** A short soak of real processes; longer ones are run by hand with `npm run soak`. */
+/** Short soaks of real processes, which must not break a promise under faults. */
 import { mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -6,22 +6,22 @@
 import { buildEarlier, productionCommit } from '../soak/earlier-build.js';
 import { BUNDLE, runSoak } from '../soak/soak-run.js';
 
-/** A run that once broke a promise. */
+/** A seed with which a promise was broken. */
 interface RegressionSeed {
   readonly seed: number;
   readonly seconds: number;
   readonly routers: number;
-  /** Whether engines restart under their names; left out for a seed that was found without. */
+  /** Whether engines restart under their names; absent if the seed was found without. */
   readonly hasEngineLives?: boolean;
-  /** Whether engines leave unheard by the store and ask for pauses; likewise. */
+  /** Whether engines drain during store outages and request retry delays; likewise. */
   readonly hasEngineNotices?: boolean;
-  /** Whether engines name limits on requests a second; likewise. */
+  /** Whether engines announce limits on requests per second; likewise. */
   readonly hasEngineLimits?: boolean;
-  /** Whether the store comes back from older copies of itself; likewise. */
+  /** Whether the store is restored from older copies of itself; likewise. */
   readonly hasStoreRestorations?: boolean;
-  /** Whether routers of the earlier build run beside those of the present one. */
+  /** Whether routers run the production build and the current build side by side. */
   readonly isMixed?: boolean;
-  /** What was at fault. */
+  /** Cause of the broken promise. */
   readonly cause: string;
 }
 
@@ -40,7 +40,7 @@
   seconds: 14,
   routers: 4,
   hasEngineNotices: true,
-  cause: 'none: the short soak of what engines say of themselves',
+  cause: 'none: the short soak of notices in engine responses',
 };
 
 const LIMITS: RegressionSeed = {
@@ -48,16 +48,16 @@
   seconds: 14,
   routers: 4,
   hasEngineLimits: true,
-  cause: 'none: the short soak of limits that engines name',
+  cause: 'none: the short soak of rate limits',
 };
 const RESTORATIONS: RegressionSeed = {
   seed: 3,
   seconds: 14,
   routers: 4,
   hasStoreRestorations: true,
-  cause: 'none: the short soak of a store that goes back',
+  cause: 'none: the short soak of store restorations',
 };
-/** Without restorations of the store: the earlier build knows no eras. */
+/** Without restorations of the store, because the earlier build does not support store eras. */
 const MIXED: RegressionSeed = {
   seed: 4,
   seconds: 14,
@@ -90,7 +90,7 @@
       folder,
       programs: earlier ? [earlier.program, BUNDLE] : [BUNDLE],
     });
-    t.deepEqual(result.breaches, [], `evidence and logs: ${folder}`);
+    t.deepEqual(result.violations, [], `evidence and logs: ${folder}`);
     t.true(result.calls > 0);
     rmSync(folder, { recursive: true });
     if (earlier) rmSync(earlier.folder, { recursive: true });
