--- a/src/protocol/engine/http-client.ts
+++ b/src/protocol/engine/http-client.ts
@@ -23,10 +23,10 @@
   usageFromWire,
 } from './wire-mapping.js';
 
-/** Time beyond the engine's own wait that an answer may take. */
-const ANSWER_TIMEOUT_MS = 2_000;
+/** Response timeout, added to the wait time that the request allows the engine. */
+const RESPONSE_TIMEOUT_MS = 2_000;
 
-/** One stream being read. */
+/** One generation stream, read from a server-sent event response. */
 class HttpEngineStream implements EngineStream {
   private response: IncomingMessage | undefined;
   private parser: EventSourceParser | undefined;
@@ -44,12 +44,12 @@
     try {
       response = await openHttp(method, this.address, path, payload);
     } catch (error) {
-      this.fail(failureOf(error, this.address));
+      this.fail(toEngineFailure(error, this.address));
       return;
     }
     if (this.closed) response.destroy();
     else if (response.statusCode === HttpStatus.Ok) this.read(response);
-    else this.fail(await refusalOf(response));
+    else this.fail(await readRefusal(response));
   }
 
   pause(): void {
@@ -65,8 +65,10 @@
   cancel(): void {
     this.detach();
     const path = `/v1/requests/${encodeURIComponent(this.engineRequestId)}`;
-    // A lost cancellation costs only the engine's time; the stream ends by its token limit.
-    exchangeJson('DELETE', this.address, path, undefined, ANSWER_TIMEOUT_MS).catch(() => undefined);
+    // Errors are ignored: without the cancellation the generation ends at its token limit.
+    exchangeJson('DELETE', this.address, path, undefined, RESPONSE_TIMEOUT_MS).catch(
+      () => undefined,
+    );
   }
 
   detach(): void {
@@ -76,7 +78,7 @@
 
   private read(response: IncomingMessage): void {
     this.response = response;
-    this.parser = createParser({ onEvent: (event) => this.take(event.data) });
+    this.parser = createParser({ onEvent: (event) => this.handleEvent(event.data) });
     response.setEncoding('utf8');
     response.on('data', (text: string) => this.parser?.feed(text));
     response.on('error', () => undefined);
@@ -84,9 +86,9 @@
     if (this.paused) response.pause();
   }
 
-  private take(data: string): void {
+  private handleEvent(data: string): void {
     if (this.closed) return;
-    const event = streamEventSchema.safeParse(parseQuietly(data));
+    const event = streamEventSchema.safeParse(tryParseJson(data));
     if (!event.success) {
       this.fail({ kind: 'interrupted', reason: 'malformed stream event' });
       return;
@@ -116,7 +118,7 @@
   }
 }
 
-/** Engines reached over HTTP. */
+/** Client of engines over HTTP. */
 export class HttpEngineClient implements EnginePort {
   generate(
     address: string,
@@ -142,7 +144,7 @@
 
   async events(address: string, fromSequence: number, waitMs: number): Promise<EngineEventBatch> {
     const path = `/v1/cache/events?from=${fromSequence}&wait_ms=${waitMs}`;
-    const body = await getJson(address, path, waitMs + ANSWER_TIMEOUT_MS);
+    const body = await getJson(address, path, waitMs + RESPONSE_TIMEOUT_MS);
     const batch = eventBatchSchema.safeParse(body);
     if (!batch.success) throw new ProtocolFailure({ kind: 'malformed', reason: 'event batch' });
     return batchFromWire(batch.data);
@@ -150,7 +152,7 @@
 
   async snapshot(address: string): Promise<EngineSnapshot> {
     const snapshot = snapshotSchema.safeParse(
-      await getJson(address, '/v1/cache/snapshot', ANSWER_TIMEOUT_MS),
+      await getJson(address, '/v1/cache/snapshot', RESPONSE_TIMEOUT_MS),
     );
     if (!snapshot.success) throw new ProtocolFailure({ kind: 'malformed', reason: 'snapshot' });
     return snapshotFromWire(snapshot.data);
@@ -158,30 +160,33 @@
 }
 
 async function getJson(address: string, path: string, timeoutMs: number): Promise<unknown> {
-  const answer = await exchangeJson('GET', address, path, undefined, timeoutMs);
-  if (answer.status !== HttpStatus.Ok) {
-    throw new ProtocolFailure({ kind: 'rejected', status: answer.status, reason: path });
+  const response = await exchangeJson('GET', address, path, undefined, timeoutMs);
+  if (response.status !== HttpStatus.Ok) {
+    throw new ProtocolFailure({ kind: 'rejected', status: response.status, reason: path });
   }
-  return answer.body;
+  return response.body;
 }
 
-function failureOf(error: unknown, address: string): EngineFailure {
+function toEngineFailure(error: unknown, address: string): EngineFailure {
   const cause = toProtocolError(error, address);
   if (cause.kind === 'unreachable') return { kind: 'unreachable', reason: cause.reason };
   return { kind: 'interrupted', reason: 'connection lost' };
 }
 
-/** Only a body that says `not_run` proves a refusal; any other status leaves it open. */
-async function refusalOf(response: IncomingMessage): Promise<EngineFailure> {
+/**
+ * Only a body with `not_run` proves that the engine did not run the request; with any other error
+ * status it may have run.
+ */
+async function readRefusal(response: IncomingMessage): Promise<EngineFailure> {
   const status = response.statusCode ?? 0;
   const text = await Wreck.read(response, {}).then(String, () => '');
-  const refusal = refusalSchema.safeParse(parseQuietly(text));
+  const refusal = refusalSchema.safeParse(tryParseJson(text));
   if (refusal.success) return { kind: 'refused', reason: refusal.data.reason };
   if (status === HttpStatus.NotFound) return { kind: 'not-found' };
   return { kind: 'interrupted', reason: `status ${status}` };
 }
 
-function parseQuietly(text: string): unknown {
+function tryParseJson(text: string): unknown {
   try {
     return parseJson(text);
   } catch {
--- a/src/protocol/engine/wire-mapping.ts
+++ b/src/protocol/engine/wire-mapping.ts
@@ -1,4 +1,4 @@
-/** Maps between the engine's JSON bodies and the port's types, in both directions. */
+/** Converts between the engine's JSON bodies and the types of the engine port. */
 import type { z } from 'zod';
 import type {
   EngineCacheEvent,
--- a/src/protocol/engine/wire.ts
+++ b/src/protocol/engine/wire.ts
@@ -1,4 +1,4 @@
-/** The JSON bodies of the engine's HTTP interface, for its client and the stand-in. */
+/** Schemas of the JSON bodies of the engine's HTTP interface. */
 import { z } from 'zod';
 
 const HEXADECIMAL = 16;
@@ -72,15 +72,15 @@
   z.object({ type: z.literal('end'), finish_reason: z.string(), usage: usageSchema }),
 ]);
 
-/** A refusal: the engine ran nothing. */
+/** Body of a rejection: the engine did not run the request. */
 export const refusalSchema = z.object({ not_run: z.literal(true), reason: z.string() });
 
-/** Writes a block hash. */
+/** Formats a block hash in hexadecimal. */
 export function formatHash(value: bigint): string {
   return value.toString(HEXADECIMAL);
 }
 
-/** Reads a block hash. */
+/** Parses a hexadecimal block hash. */
 export function parseHash(text: string): bigint {
   return BigInt(`0x${text}`);
 }
--- a/src/protocol/errors.ts
+++ b/src/protocol/errors.ts
@@ -1,25 +1,25 @@
-/** Errors of the protocol layer and how it turns those of the transport. */
+/** Errors of the protocol layer, and their conversion from transport errors. */
 import type { StorePosition } from '../runtime/store-position.js';
 import { TransportFailure, describeTransportError } from '../transport/errors.js';
 
-/** What can go wrong in talking to a peer or an outside system. */
+/** Errors in calls to a peer or an external system. */
 export type ProtocolError =
-  /** Nothing was sent. */
+  /** No connection could be made; nothing was sent. */
   | { readonly kind: 'unreachable'; readonly address: string; readonly reason: string }
-  /** Something was sent; what became of it is not known. */
+  /** The connection failed after sending; whether the call took effect is unknown. */
   | { readonly kind: 'interrupted'; readonly address: string; readonly reason: string }
-  /** The other side answered with a refusal. */
+  /** The other side responded with an error status. */
   | { readonly kind: 'rejected'; readonly status: number; readonly reason: string }
-  /** The answer does not follow the protocol. */
+  /** The response does not conform to the protocol. */
   | { readonly kind: 'malformed'; readonly reason: string }
   | { readonly kind: 'version-mismatch'; readonly theirs: number; readonly ours: number }
-  /** The answer shows an older state than one that was seen before. */
+  /** The response has an older store position than an earlier response. */
   | {
       readonly kind: 'outdated';
       readonly position: StorePosition;
       readonly knownPosition: StorePosition;
     }
-  /** A write met another version than it expected. */
+  /** A conditional write expected another version than the stored one. */
   | { readonly kind: 'conflict'; readonly presentVersion: number };
 
 /** Carries a protocol error through promise rejections. */
@@ -30,7 +30,7 @@
   }
 }
 
-/** One line for logs. */
+/** Formats an error as one line for logs. */
 export function describeProtocolError(error: ProtocolError): string {
   switch (error.kind) {
     case 'unreachable':
@@ -38,19 +38,19 @@
     case 'interrupted':
       return `exchange with ${error.address} was interrupted: ${error.reason}`;
     case 'rejected':
-      return `refused with status ${error.status}: ${error.reason}`;
+      return `rejected with status ${error.status}: ${error.reason}`;
     case 'malformed':
-      return `malformed answer: ${error.reason}`;
+      return `malformed response: ${error.reason}`;
     case 'version-mismatch':
-      return `peer speaks protocol version ${error.theirs}, this node ${error.ours}`;
+      return `peer uses protocol version ${error.theirs}, this node uses ${error.ours}`;
     case 'outdated':
-      return `answer at position ${String(error.position)}, though ${String(error.knownPosition)} was seen`;
+      return `response at position ${String(error.position)} is older than known position ${String(error.knownPosition)}`;
     case 'conflict':
-      return `present version is ${error.presentVersion}`;
+      return `write conflict: the current version is ${error.presentVersion}`;
   }
 }
 
-/** Turns whatever a lower layer threw into a protocol error. */
+/** Converts an error thrown by a lower layer to a protocol error. */
 export function toProtocolError(cause: unknown, address: string): ProtocolError {
   if (cause instanceof ProtocolFailure) return cause.error;
   if (cause instanceof TransportFailure) {
--- a/src/protocol/http-json.ts
+++ b/src/protocol/http-json.ts
@@ -1,21 +1,20 @@
-/** JSON over HTTP towards outside systems, with errors as protocol errors. */
+/** JSON over HTTP to external systems; failures are reported as `ProtocolFailure`. */
 import Wreck from '@hapi/wreck';
 import http, { type IncomingMessage } from 'node:http';
 import { ProtocolFailure } from './errors.js';
 
-/** A JSON answer of any status. */
+/** A JSON response of any status. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Error codes that prove that no request was sent. */
+/** Error codes of connection attempts that fail before a request is sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
 
-/** Connections to outside systems are kept open between requests. */
 const keepAliveAgent = new http.Agent({ keepAlive: true });
 
-/** Sends a request; rejects with a `ProtocolFailure` (`unreachable` only where nothing was sent). */
+/** Sends a request; rejects with a `ProtocolFailure` (`unreachable` only if nothing was sent). */
 export async function openHttp(
   method: string,
   address: string,
@@ -35,7 +34,7 @@
   }
 }
 
-/** Sends a request and reads its JSON answer. */
+/** Sends a request and reads the JSON response. */
 export async function exchangeJson(
   method: string,
   address: string,
@@ -55,25 +54,25 @@
   return { status: response.statusCode ?? 0, body: parseJson(text) };
 }
 
-/** Parses JSON; rejects with `malformed`. */
+/** Parses JSON, undefined for an empty text; throws a `malformed` failure for invalid JSON. */
 export function parseJson(text: string): unknown {
   if (text === '') return undefined;
   try {
     return JSON.parse(text);
   } catch {
-    throw new ProtocolFailure({ kind: 'malformed', reason: 'answer is not JSON' });
+    throw new ProtocolFailure({ kind: 'malformed', reason: 'response body is not valid JSON' });
   }
 }
 
 function toFailure(error: unknown, address: string): ProtocolFailure {
-  const code = codeOf(error);
+  const code = errorCodeOf(error);
   const reason = error instanceof Error ? error.message : String(error);
   if (NOT_SENT_CODES.has(code))
     return new ProtocolFailure({ kind: 'unreachable', address, reason });
   return new ProtocolFailure({ kind: 'interrupted', address, reason });
 }
 
-function codeOf(error: unknown): string {
+function errorCodeOf(error: unknown): string {
   const candidate = error as { code?: unknown; data?: { code?: unknown } } | undefined;
   return String(candidate?.code ?? candidate?.data?.code ?? '');
 }
--- a/src/protocol/http-status.ts
+++ b/src/protocol/http-status.ts
@@ -1,4 +1,4 @@
-/** HTTP status codes used here (RFC 9110). */
+/** HTTP status codes (RFC 9110). */
 export enum HttpStatus {
   Ok = 200,
   Accepted = 202,
@@ -10,7 +10,7 @@
   NotFound = 404,
   Conflict = 409,
   ContentTooLarge = 413,
-  /** Another engine is meant, or other weights. */
+  /** The request is for another engine or for other weights. */
   Misdirected = 421,
   TooManyRequests = 429,
   ServerError = 500,
--- a/src/protocol/inference/port.ts
+++ b/src/protocol/inference/port.ts
@@ -1,94 +1,94 @@
-/** The port to engines: one exchange is one send of a request to one engine. */
+/** Interface to inference engines. An exchange is one attempt to send a request to one engine. */
 
-/** A header as it stands on the wire; names keep their spelling, duplicates stay apart. */
+/** A header line as received; the case of names and duplicate lines are preserved. */
 export type HeaderLine = readonly [name: string, value: string];
 
-/** A request as it is passed on, the same for every engine. */
+/** A request to forward, the same for each engine. */
 export interface ForwardedRequest {
   readonly id: string;
   readonly method: string;
-  /** Path and query, unchanged. */
+  /** Path and query of the client's request, unchanged. */
   readonly target: string;
-  /** The host header, unchanged. */
+  /** `Host` header of the client's request, unchanged. */
   readonly hostHeader: string;
   readonly headers: readonly HeaderLine[];
   readonly body: Uint8Array;
 }
 
-/** What differs from send to send. */
+/** Options that differ between attempts. */
 export interface SendOptions {
-  /** Time the client will still wait, in milliseconds. */
+  /** Remaining time until the client's deadline, in milliseconds. */
   readonly budgetMs: number;
   readonly tenant: string | undefined;
-  /** Name of the engine; another engine that has its address refuses. */
+  /** Name of the engine; another engine at the same address rejects the request. */
   readonly expectedInstance: string;
-  /** Only an engine with these weights may run it. */
+  /** An engine with other weights rejects the request. */
   readonly expectedVersion: number | undefined;
-  /** Engines look up kept prompts only under the same salt. */
+  /** Engines share cached prefixes only between requests with the same salt. */
   readonly cacheSalt: string | undefined;
-  /** 0 (first) to 9. */
+  /** From 0 (most urgent) to 9. */
   readonly urgency: number | undefined;
-  /** Engine or store to take kept prompts from, HOST:PORT. */
+  /** Engine or cache store to fetch cached prefixes from, HOST:PORT. */
   readonly fetchFrom: string | undefined;
-  /** Store that gets what was read, HOST:PORT. */
+  /** Cache store to save the computed prefix to, HOST:PORT. */
   readonly saveTo: string | undefined;
-  /** Continue after this event of the stream. */
+  /** Event identifier after which the stream continues. */
   readonly resumeAfter: string | undefined;
 }
 
-/** Status line and headers of an engine's answer. */
+/** Status and headers of an engine's response. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: readonly HeaderLine[];
-  /** Declared length of the body in bytes; undefined where it is not declared. */
+  /** Declared length of the body in bytes; undefined if not declared. */
   readonly contentLength: number | undefined;
-  /** Whether the engine attests that it ran the request and made this answer. */
+  /** Whether the engine attests that it ran the request and produced this response. */
   readonly isAttested: boolean;
 }
 
 /**
- * Why an exchange ended without a whole answer. `isDisconnect`: the connection broke at the engine's side
- * after the request was sent, as it does when the engine crashes.
+ * Why an exchange ended without a complete response. `isDisconnect`: the engine's side closed the
+ * connection after the request was sent, as in a crash of the engine.
  */
 export type ExchangeFailure =
-  /** No byte of the request left this router. */
+  /** No byte of the request was sent. */
   | { readonly kind: 'not-sent'; readonly reason: string }
-  /** The engine attests that it has not run the request. */
+  /** The engine attests that it did not run the request. */
   | { readonly kind: 'refused'; readonly status: number; readonly reason: string }
-  /** This router gave it up for a reason that is none of the engine's; it may have run. */
+  /** This router ended the exchange, not because of the engine; the request may have run. */
   | { readonly kind: 'withdrawn'; readonly reason: string }
-  /** It may have run. */
+  /** The request may have run. */
   | { readonly kind: 'unknown'; readonly reason: string; readonly isDisconnect?: boolean }
-  /** The answer began and broke off. */
+  /** The response began and is incomplete. */
   | { readonly kind: 'cut'; readonly reason: string; readonly isDisconnect?: boolean };
 
-/** What an attempt to connect to an engine's address shows. */
+/** Result of a connection attempt to an engine's address. */
 export enum ListenerState {
-  /** Somebody accepts connections there. */
+  /** The connection was accepted. */
   Listening = 'listening',
-  /** The machine answers that nobody does. */
+  /** The connection was refused. */
   Refused = 'refused',
-  /** No answer in time. */
+  /** The connection attempt timed out. */
   Silent = 'silent',
 }
 
-/** What an engine says of itself beside an answer, whatever becomes of the answer. */
+/** Status of the engine in the headers of a response, independent of the response's outcome. */
 export interface EngineNotice {
-  /** The engine ends soon and wants no new work. */
+  /** The engine is shutting down and accepts no new work. */
   readonly isLeaving: boolean;
-  /** It wants no requests of this router for so long, in milliseconds; undefined where it asks for no pause. */
+  /** Time during which this router must send no requests, in milliseconds; undefined if none. */
   readonly backoffMs: number | undefined;
-  /** Requests a second that it takes from all routers together; undefined where it names no limit. */
+  /** Rate limit for all routers together, in requests per second; undefined if there is none. */
   readonly limitPerSecond: number | undefined;
-  /** Values of these that can't be read. */
+  /** Malformed values of these headers. */
   readonly unreadable: readonly string[];
-  /** Names of headers of the platform that this build does not know. */
+  /** Names of platform headers that this version does not support. */
   readonly unknownHeaders: readonly string[];
 }
 
 /**
- * Receives one answer: a notice where the engine gives one, a head, any number of chunks, then one end or
- * failure.
+ * Receives one response: the engine's status if there is one, the head, any number of chunks, then
+ * either the end or a failure.
  */
 export interface ExchangeListener {
   onNotice(notice: EngineNotice): void;
@@ -98,9 +98,9 @@
   onFailure(failure: ExchangeFailure): void;
 }
 
-/** A send under way. */
+/** An exchange in progress. */
 export interface Exchange {
-  /** Closes the connection, so that the engine stops. No event follows. */
+  /** Closes the connection, which stops the engine's work. The listener gets no further calls. */
   cancel(): void;
   pause(): void;
   resume(): void;
@@ -108,73 +108,73 @@
 
 /** The engine a request is sent to. */
 export interface EngineEndpoint {
-  /** Incarnation of the engine: connections are kept by it. */
+  /** Identifier of the engine's incarnation; connections are pooled by it. */
   readonly id: string;
-  /** Name under which the engine knows itself, the same in every life. */
+  /** The engine's own name, the same in every incarnation. */
   readonly name: string;
   /** HOST:PORT. */
   readonly address: string;
 }
 
-/** An order to take other weights. */
+/** A command to load other weights. */
 export interface WeightOrder {
   readonly model: string;
   readonly version: number;
-  /** Name of the machine that holds the lease. */
+  /** Name of the coordinator, which holds the lease. */
   readonly holder: string;
   readonly fencingToken: number;
-  /** Orders the engine must have taken so far. */
+  /** Number of load commands that the engine must have accepted before this one. */
   readonly expectedSequence: number;
 }
 
-/** The life that answered: its start in Unix milliseconds, where the answer states it. */
+/** Start time of the responding incarnation, in Unix milliseconds, if it is in the response. */
 export interface StatedLife {
   readonly bornMs?: number | undefined;
 }
 
-/** Outcome of an order. */
+/** Result of a load command. */
 export type OrderResult =
   | ({ readonly kind: 'accepted' } & StatedLife)
   | ({ readonly kind: 'already-done' } & StatedLife)
   | ({ readonly kind: 'rejected'; readonly status: number } & StatedLife)
-  /** Another engine has the address: the one that was meant is gone. */
+  /** Another engine now has the address. */
   | { readonly kind: 'replaced' }
-  /** Not answered: it may be carried out, even later. */
+  /** No response: the engine may still carry out the command. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** What an engine tells of one model's weights; some hundred milliseconds old. */
+/** State of one model's weights as reported by an engine; it lags by some hundred milliseconds. */
 export interface WeightState extends StatedLife {
   readonly version: number;
-  /** Whether an order is under way. */
+  /** Whether a load command is in progress. */
   readonly isBusy: boolean;
-  /** Orders taken since the engine started. */
+  /** Load commands accepted since the engine started. */
   readonly orderSequence: number;
 }
 
-/** One change of what an engine or a cache store keeps. */
+/** A change of one cached part at an engine or a cache store. */
 export interface CacheEvent {
   readonly salt: string;
   readonly partId: string;
-  /** Tokens of the part kept now; 0 where it is gone. */
+  /** Cached tokens of the part; 0 if it was evicted. */
   readonly tokens: number;
 }
 
-/** An answer of an event feed. */
+/** A page of an event feed. */
 export interface CacheEventPage extends StatedLife {
-  /** Changes when the holder restarts. */
+  /** Changes when the engine or cache store restarts. */
   readonly epoch: number;
-  /** Where the next call continues. */
+  /** Position at which the next call continues. */
   readonly next: number;
-  /** Whether events between `since` and the first of this page are gone. */
+  /** Whether events between `since` and the first event of this page are missing. */
   readonly hasGap: boolean;
   readonly events: readonly CacheEvent[];
 }
 
-/** All that an engine or a cache store keeps. */
+/** All cached parts of an engine or a cache store. */
 export interface CacheContents extends StatedLife {
-  /** Changes when the holder restarts. */
+  /** Changes when the engine or cache store restarts. */
   readonly epoch: number;
-  /** Where the event feed continues from this state. */
+  /** Position at which the event feed continues after this state. */
   readonly next: number;
   readonly held: readonly CacheEvent[];
 }
@@ -187,15 +187,15 @@
     options: SendOptions,
     listener: ExchangeListener,
   ): Exchange;
-  /** Tries to connect, without a request. */
+  /** Opens a connection to the engine's address, without sending a request. */
   checkListener(endpoint: EngineEndpoint): Promise<ListenerState>;
   order(endpoint: EngineEndpoint, order: WeightOrder): Promise<OrderResult>;
-  /** Undefined where the engine does not answer. */
+  /** Returns undefined if the engine does not respond. */
   weightState(endpoint: EngineEndpoint, model: string): Promise<WeightState | undefined>;
-  /** Rejects with a `ProtocolFailure`. Held up to `waitMs` until there are events. */
+  /** Waits up to `waitMs` for events. Rejects with a `ProtocolFailure`. */
   cacheEvents(address: string, since: number, waitMs: number): Promise<CacheEventPage>;
-  /** Rejects with a `ProtocolFailure`. Holds up the holder's work, so it is called rarely. */
+  /** Rejects with a `ProtocolFailure`. Expensive for the engine or cache store: call it rarely. */
   cacheContents(address: string): Promise<CacheContents>;
-  /** Closes idle connections to engines that are not listed any more. */
+  /** Closes idle connections to all engines except the given ones. */
   retain(engineIds: ReadonlySet<string>): void;
 }
--- a/src/protocol/machine-list/port.ts
+++ b/src/protocol/machine-list/port.ts
@@ -1,6 +1,6 @@
-/** What the system expects of the platform's machine list. It lags. */
+/** Interface to the platform's machine list, which lags behind the state of the machines. */
 
-/** What a machine runs. */
+/** Kind of program that a machine runs. */
 export type MachineKind = 'engine' | 'backend' | 'kv-store';
 
 /** A machine on the list. */
@@ -10,20 +10,20 @@
   readonly address: string;
   readonly zone: string;
   readonly site: string;
-  /** Services a plain back end answers. */
+  /** Services that a plain back end provides. */
   readonly services: readonly string[];
   readonly leaving: boolean;
 }
 
-/** The list at one version. */
+/** The list of machines at one version. */
 export interface MachineList {
-  /** Grows with each change. */
+  /** Increases with each change. */
   readonly version: number;
   readonly machines: readonly Machine[];
 }
 
 /** Calls to the machine list. Promises reject with a `ProtocolFailure`. */
 export interface MachineListPort {
-  /** Waits for a version above `afterVersion`; undefined where none came in time. */
+  /** Waits up to `waitMs` for a version above `afterVersion`; undefined if there is none. */
   watch(afterVersion: number, waitMs: number): Promise<MachineList | undefined>;
 }
--- a/src/protocol/object-api/port.ts
+++ b/src/protocol/object-api/port.ts
@@ -1,8 +1,8 @@
-/** What the system expects of the platform's object API: versions, compare-and-swap, watches. */
+/** Interface to the platform's object API: versions, compare-and-swap and watches. */
 
 /** A stored object. */
 export interface StoredObject {
-  /** Grows by at least one with each write. */
+  /** Increases by at least one with each write. */
   readonly version: number;
   /** JSON text. */
   readonly content: string;
@@ -10,13 +10,13 @@
 
 /** Calls to the object API. Promises reject with a `ProtocolFailure`. */
 export interface ObjectApiPort {
-  /** The object, or undefined where there is none. */
+  /** Returns undefined if there is no such object. */
   read(name: string): Promise<StoredObject | undefined>;
   /**
-   * Writes where the present version is `expectedVersion` (0: there is none yet); answers the new
-   * version. A `conflict` was not written; an `interrupted` write may have been.
+   * Writes the object if its current version is `expectedVersion` (0: it does not exist yet) and
+   * returns the new version. A `conflict` was not written; an `interrupted` write may have been.
    */
   write(name: string, content: string, expectedVersion: number): Promise<number>;
-  /** Waits for a version above `afterVersion`; undefined where none came in time. */
+  /** Waits up to `waitMs` for a version above `afterVersion`; undefined if there is none. */
   watch(name: string, afterVersion: number, waitMs: number): Promise<StoredObject | undefined>;
 }
--- a/src/protocol/object-store/port.ts
+++ b/src/protocol/object-store/port.ts
@@ -1,21 +1,21 @@
-/** The port to the platform's store of versioned objects. */
+/** Interface to the platform's store of versioned objects. */
 import type { ElapsedInstant } from '../../runtime/elapsed-instant.js';
 import type { StorePosition } from '../../runtime/store-position.js';
 
-/** One object as the store holds it. */
+/** An object in the store. */
 export interface StoredObject {
   readonly name: string;
-  /** Of its last change, in the era of the answer that shows it. */
+  /** Position of the object's last change, in the store era of the response. */
   readonly position: StorePosition;
-  /** Written by the owner of the object; checked by whoever reads it. */
+  /** Contents as written by the object's owner; unchecked. */
   readonly spec: unknown;
 }
 
-/** What an answer of the store may hold beside its objects. */
+/** Fields that a response of the store has beside its objects. */
 export interface UnnamedItems {
-  /** Items without a key that can be read; left out where there are none. */
+  /** Number of items without a valid key; omitted if there are none. */
   readonly unnamedItems?: number;
-  /** Where the store stood when it made the answer. */
+  /** Position of the store when it made the response. */
   readonly position: StorePosition;
 }
 
@@ -23,10 +23,11 @@
 export interface ObjectList extends UnnamedItems {
   readonly objects: readonly StoredObject[];
   /**
-   * Moment at which the list was current, `never` where that is not known; left out: when the call began.
+   * Monotonic time at which the list was known to be current, `never` if unknown. Omitted: the
+   * start of the call.
    */
   readonly proven?: ElapsedInstant;
-  /** Another router answered in the store's place; left out: the store itself. */
+  /** Whether another router relayed the list; omitted if it comes from the store itself. */
   readonly isRelayed?: boolean;
 }
 
@@ -36,51 +37,51 @@
   readonly isGone: boolean;
 }
 
-/** What a watch answers: the changes up to a position, or that they are not known to follow on the one asked from. */
+/** Result of a watch: the changes up to a position, or `history-gone` if some may be missing. */
 export type WatchResult =
   | (UnnamedItems & {
       readonly kind: 'events';
       readonly events: readonly ObjectEvent[];
-      /** Moment at which the position was the newest; left out: when the call began. */
+      /** Monotonic time at which the position was the latest. Omitted: the start of the call. */
       readonly proven?: ElapsedInstant;
-      /** Another router answered in the store's place; left out: the store itself. */
+      /** Whether another router relayed the changes; omitted if they come from the store itself. */
       readonly isRelayed?: boolean;
     })
   | { readonly kind: 'history-gone' };
 
-/** What a conditional write answers. */
+/** Result of a conditional write. */
 export type WriteResult =
-  /** The revision was as expected: in a later era than expected it may have been another object's state. */
+  /** The revision matched. In a later era, it may belong to another state of the object. */
   | { readonly kind: 'written'; readonly era: number; readonly object: StoredObject }
-  /** Another revision was found; the object as it is, where the store tells it. */
+  /** The revision did not match. `present` is the current object, if the store returns it. */
   | { readonly kind: 'conflict'; readonly era: number; readonly present: StoredObject | undefined }
   | { readonly kind: 'missing'; readonly era: number };
 
-/** What a read of one object answers. */
+/** Result of a read of one object. */
 export interface ReadResult {
-  /** The store's era when it made the answer. */
+  /** Era of the store when it made the response. */
   readonly era: number;
-  /** Undefined where there is no such object. */
+  /** Undefined if there is no such object. */
   readonly object: StoredObject | undefined;
 }
 
-/** How current a list must be. */
+/** Required freshness of a list. */
 export enum ListFreshness {
-  /** No change acknowledged before the call is missing. */
+  /** Includes every change acknowledged before the call. */
   Current = 'current',
-  /** It may lack the changes of the last seconds, and costs the store less. */
+  /** May lack the changes of the last seconds; cheaper for the store. */
   MayBeOld = 'may-be-old',
 }
 
-/** Calls reject with a `ProtocolFailure`; a write without an answer may still be done later. */
+/** Calls reject with a `ProtocolFailure`. A write without a response may still take effect. */
 export interface ObjectStorePort {
   list(kind: string, freshness: ListFreshness): Promise<ObjectList>;
-  /** Waits up to `waitMs` for changes after a position. */
+  /** Returns the changes after a position; waits up to `waitMs` if there are none. */
   watch(kind: string, position: StorePosition, waitMs: number): Promise<WatchResult>;
   read(kind: string, name: string): Promise<ReadResult>;
   create(kind: string, name: string, spec: unknown): Promise<WriteResult>;
-  /** Replaces the object if its revision is still the one of `position`. */
+  /** Replaces the object if its revision is still that of `position`. */
   replace(kind: string, name: string, spec: unknown, position: StorePosition): Promise<WriteResult>;
-  /** Removes an object; resolves also where there is none. */
+  /** Removes an object; also resolves if there is none. */
   remove(kind: string, name: string): Promise<void>;
 }
--- a/src/protocol/peer/cluster-codec.ts
+++ b/src/protocol/peer/cluster-codec.ts
@@ -1,4 +1,4 @@
-/** Encodes and decodes the datagrams between routers. */
+/** Encodes and decodes datagrams between routers. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { BinaryWriter, WireType } from '@bufbuild/protobuf/wire';
 import {
@@ -18,26 +18,26 @@
   MemberUpdateSchema,
 } from './generated/peer_pb.js';
 
-/** Contents of a message without the library's own fields. */
+/** Fields of a message without those of the protobuf library. */
 export type Contents<Message> = Omit<Message, '$typeName' | '$unknown'>;
 
-/** The datagrams with which routers of a large group tell each other their work. */
+/** Datagrams by which routers of a large group share the load that each one has. */
 export type WorkDatagram = Extract<ClusterDatagram['body'], { case: 'workReport' | 'workSummary' }>;
 
-/** The datagrams with which routers keep the limits of tenants together. */
+/** Datagrams by which routers enforce the quotas of tenants together. */
 export type QuotaDatagram = Extract<
   ClusterDatagram['body'],
   { case: 'quotaQuestion' | 'quotaAnswer' | 'quotaNotice' }
 >;
 
-/** One statement about a member, for {@link encodeClusterGossip}. */
+/** Encodes one member update for {@link encodeClusterGossip}. */
 export function encodeUpdate(update: MemberUpdate): Uint8Array {
   return toBinary(MemberUpdateSchema, update);
 }
 
 /**
- * Encodes gossip around statements that are encoded already: each is sent many times, and encoding them
- * was the larger part of what a datagram costs.
+ * Encodes a gossip datagram from encoded member updates. Each update is sent many times, so that
+ * its encoding is reused.
  *
  * @param head the other fields of the datagram
  */
@@ -82,7 +82,7 @@
   return toBinary(ClusterDatagramSchema, create(ClusterDatagramSchema, { body }));
 }
 
-/** Undefined where the datagram is malformed. */
+/** Returns undefined if the datagram is malformed. */
 export function decodeClusterDatagram(datagram: Uint8Array): ClusterDatagram['body'] | undefined {
   try {
     return fromBinary(ClusterDatagramSchema, datagram).body;
--- a/src/protocol/peer/encoded-changes.ts
+++ b/src/protocol/peer/encoded-changes.ts
@@ -1,7 +1,7 @@
 /**
- * Changes of objects as frames carry them. A router that others follow the store through answers tens of them with the
- * same changes: each object is encoded once, and each series deflated once. A list of 3,000 engines took 28 ms and 783 KB
- * for each router; it takes 1.5 ms and 75 KB, and after the first one nothing but the copy (one busy processor).
+ * Encodes changes of objects for frames between routers. A router that relays the store sends the
+ * same changes to many others, so that each object is encoded once and each series of changes
+ * compressed once.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
@@ -13,32 +13,32 @@
   ObjectChangesSchema,
 } from './generated/cluster_pb.js';
 
-/** The changes of one answer. */
+/** The encoded changes of one response. */
 export type EncodedChanges =
   | { readonly kind: 'plain'; readonly changes: readonly Uint8Array[] }
   | { readonly kind: 'deflated'; readonly bytes: Uint8Array };
 
-/** An answer without changes. */
+/** The encoding of no changes. */
 export const NO_CHANGES: EncodedChanges = { kind: 'plain', changes: [] };
 
-/** Less is not worth deflating. */
-const LEAST_DEFLATED_BYTES = 1_024;
-/** The quickest level; higher ones save a sixth of the bytes for two and a half times the work. */
+/** Smaller changes are sent uncompressed. */
+const MINIMUM_DEFLATED_BYTES = 1_024;
+/** The fastest level; higher ones save little and cost much more processor time. */
 const DEFLATE_LEVEL = 1;
-/** No list of a deployment is larger; what claims to be is not inflated. */
+/** Bounds the memory that a malformed or malicious frame can take. */
 const MAXIMUM_INFLATED_BYTES = 64 * 1_024 * 1_024;
 
 const textEncoder = new TextEncoder();
 
-/** Encodes changes; an object that was encoded before is not encoded again, since its contents never change. */
+/** Encodes changes. Encoded objects are cached, since a `StoredObject` is immutable. */
 export class ChangeEncoder {
   private readonly encoded = new WeakMap<StoredObject, Uint8Array>();
 
   encode(events: readonly ObjectEvent[]): Uint8Array[] {
-    return events.map(({ object, isGone }) => (isGone ? encodeRemoval(object) : this.put(object)));
+    return events.map(({ object, isGone }) => (isGone ? encodeRemoval(object) : this.get(object)));
   }
 
-  private put(object: StoredObject): Uint8Array {
+  private get(object: StoredObject): Uint8Array {
     let bytes = this.encoded.get(object);
     if (!bytes) {
       const contents = textEncoder.encode(JSON.stringify(object.spec));
@@ -49,10 +49,10 @@
   }
 }
 
-/** Deflates where that is worth it. */
+/** Compresses the changes unless they are small. */
 export function deflateChanges(changes: readonly Uint8Array[]): EncodedChanges {
   const size = changes.reduce((sum, { length }) => sum + length, 0);
-  if (size < LEAST_DEFLATED_BYTES) return { kind: 'plain', changes };
+  if (size < MINIMUM_DEFLATED_BYTES) return { kind: 'plain', changes };
   const { number } = ObjectChangesSchema.field.changes;
   const writer = new BinaryWriter();
   for (const change of changes) writer.tag(number, WireType.LengthDelimited).bytes(change);
@@ -60,7 +60,7 @@
   return { kind: 'deflated', bytes: new Uint8Array(bytes) };
 }
 
-/** Throws where the bytes are no deflated changes. */
+/** Throws if the bytes are not compressed changes. */
 export function inflateChanges(deflated: Uint8Array): readonly ObjectChange[] {
   if (deflated.length === 0) return [];
   const bytes = inflateRawSync(deflated, { maxOutputLength: MAXIMUM_INFLATED_BYTES });
--- a/src/protocol/peer/gossip-codec.ts
+++ b/src/protocol/peer/gossip-codec.ts
@@ -7,13 +7,13 @@
   GossipDatagramSchema,
 } from './generated/peer_pb.js';
 
-/** Bytes of the keyed hash (truncated HMAC-SHA-256). */
+/** Length of the keyed hash, a truncated HMAC-SHA-256. */
 const AUTHENTICATION_BYTES = 16;
 
-/** A datagram's contents besides authentication. */
+/** Fields of a datagram without its authentication. */
 export type GossipContents = Omit<GossipDatagram, '$typeName' | '$unknown' | 'authentication'>;
 
-/** Encodes with a keyed hash over all other fields. */
+/** Encodes a datagram and adds a keyed hash over all other fields. */
 export function encodeGossip(contents: GossipContents, clusterKey: string): Uint8Array {
   const unsigned = toBinary(GossipDatagramSchema, create(GossipDatagramSchema, contents));
   const authentication = authenticate(unsigned, clusterKey);
@@ -23,7 +23,7 @@
   );
 }
 
-/** Decodes; undefined where the datagram is malformed or its keyed hash is wrong. */
+/** Decodes a datagram; undefined if it is malformed or its keyed hash does not match. */
 export function decodeGossip(datagram: Uint8Array, clusterKey: string): GossipDatagram | undefined {
   let decoded: GossipDatagram;
   try {
--- a/src/protocol/peer/peer-channel.ts
+++ b/src/protocol/peer/peer-channel.ts
@@ -1,6 +1,6 @@
 /**
- * Typed messages over one frame connection between two processes of the system.
- * The first message of each side is Hello; one that differs in version ends the connection.
+ * Typed messages over one frame connection between two nodes.
+ * Each side first sends Hello; a mismatch of the protocol versions ends the connection.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { FrameConnection } from '../../transport/frame-transport.js';
@@ -12,32 +12,32 @@
   PeerMessageSchema,
 } from './generated/peer_pb.js';
 
-/** Version of the internal protocol. Raised with every change an older process can't skip. */
+/** Version of the internal protocol. Increased with every incompatible change. */
 export const PEER_PROTOCOL_VERSION = 1;
 
 /** The body of a message: one case of the union. */
 export type PeerBody = Exclude<PeerMessage['body'], { case: undefined }>;
 
-/** Who a node says it is. */
+/** Identity that a node sends in its Hello. */
 export interface NodeIntroduction {
   readonly nodeId: string;
   readonly role: NodeRole;
   readonly zone: string;
 }
 
-/** What a channel tells its user. */
+/** Callbacks of a channel. */
 export interface PeerChannelEvents {
-  /** The peer introduced itself; comes before any message. */
+  /** The peer's Hello was received; called before any `onMessage`. */
   onOpen(channel: PeerChannel, hello: Hello): void;
   onMessage(channel: PeerChannel, body: PeerBody): void;
-  /** The connection ended; comes once. */
+  /** The connection ended; called once. */
   onClose(channel: PeerChannel, reason: ChannelEnd): void;
 }
 
 /** Why a channel ended. */
 export type ChannelEnd = 'closed' | 'version-mismatch' | 'malformed';
 
-/** State of a channel. Only `Open` carries messages. */
+/** State of a channel. Messages are received only when `Open`. */
 enum ChannelState {
   AwaitingHello = 'awaiting-hello',
   Open = 'open',
@@ -56,7 +56,7 @@
     private readonly events: PeerChannelEvents,
   ) {
     connection.onFrame((frame) => this.receive(frame));
-    connection.onClose(() => this.closed());
+    connection.onClose(() => this.handleClose());
     this.transmit({
       case: 'hello',
       value: create(HelloSchema, { protocolVersion: PEER_PROTOCOL_VERSION, ...introduction }),
@@ -67,23 +67,23 @@
     return this.state === ChannelState.Open;
   }
 
-  /** Identifier of the node at the other end; empty before its Hello. */
+  /** Identifier of the peer; empty before its Hello. */
   get peerId(): string {
     return this.peer?.nodeId ?? '';
   }
 
-  /** Sends a message. False: the peer reads slowly; hold back what can wait. */
+  /** Sends a message. Returns false if the send buffer is full and the caller should pause. */
   send(body: PeerBody): boolean {
     if (this.state === ChannelState.Closed) return true;
     return this.transmit(body);
   }
 
-  /** Sends what is queued, then ends the connection. */
+  /** Closes the connection after all queued messages were sent. */
   close(): void {
     this.connection.close();
   }
 
-  /** Ends the connection at once. */
+  /** Closes the connection without sending queued messages. */
   destroy(): void {
     this.connection.destroy();
   }
@@ -122,7 +122,7 @@
     this.connection.destroy();
   }
 
-  private closed(): void {
+  private handleClose(): void {
     if (this.state === ChannelState.Closed) return;
     this.state = ChannelState.Closed;
     this.events.onClose(this, this.end);
--- a/src/protocol/peer/position-codec.ts
+++ b/src/protocol/peer/position-codec.ts
@@ -1,12 +1,12 @@
-/** Positions in the store as messages between routers carry them: a revision, and an era that older builds leave out. */
+/** Converts store positions to and from message fields: a revision and an optional era. */
 import { StoreEra, StorePosition } from '../../runtime/store-position.js';
 
-/** The optional field of the era, left out where it is not known. */
+/** Returns the optional `era` field; omitted if the era is unknown. */
 export function encodeEra(era: number = StoreEra.Unknown): { era?: bigint } {
   return era === StoreEra.Unknown ? {} : { era: BigInt(era) };
 }
 
-/** @param era undefined where the sender's build sends none */
+/** @param era undefined if the sender's version does not support eras */
 export function decodePosition(revision: bigint, era: bigint | undefined): StorePosition {
   return new StorePosition(era === undefined ? StoreEra.Unknown : Number(era), Number(revision));
 }
--- a/src/protocol/peer/relay-codec.ts
+++ b/src/protocol/peer/relay-codec.ts
@@ -1,4 +1,4 @@
-/** Encodes and decodes the frames by which a router follows the store through another. */
+/** Encodes and decodes frames by which a router watches the store through another router. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { BinaryWriter, WireType } from '@bufbuild/protobuf/wire';
 import { StorePosition } from '../../runtime/store-position.js';
@@ -16,24 +16,24 @@
 import { decodePosition, encodeEra } from './position-codec.js';
 import { type EncodedChanges, inflateChanges } from './encoded-changes.js';
 
-/** A query in the product's words; times in milliseconds. */
+/** A decoded query. */
 export interface RelayQuery {
-  /** Names the query on its connection. */
+  /** Identifies the query on its connection. */
   readonly number: number;
   readonly kind: string;
-  /** Changes after it are wanted; undefined asks for all objects. */
+  /** Requests the changes after this position; undefined requests all objects. */
   readonly position: StorePosition | undefined;
   readonly waitMs: number;
-  /** Whether the answer may carry its changes deflated; builds before this one do not say so. */
+  /** Whether the response may have compressed changes; false in queries of older versions. */
   readonly acceptsDeflated: boolean;
 }
 
-/** An answer in the product's words; times in milliseconds. */
+/** A decoded response. */
 export interface RelayAnswer {
   readonly number: number;
   readonly isKnown: boolean;
   readonly events: readonly ObjectEvent[];
-  /** Of an unknown era where the answering router's build sends none. */
+  /** Its era is unknown if the responding router's version does not send one. */
   readonly position: StorePosition;
   readonly proofAgeMs: number;
   readonly heldMs: number;
@@ -44,12 +44,12 @@
   | { readonly kind: 'query'; readonly query: RelayQuery }
   | { readonly kind: 'answer'; readonly answer: RelayAnswer };
 
-/** Largest age a frame can tell; whatever is older proves nothing anyway. */
+/** Largest value of the 32-bit age field. */
 const MAXIMUM_AGE_MS = 0xffff_ffff;
 
 const decoder = new TextDecoder();
 
-/** What an answer says beside its changes. */
+/** Fields of a response without its changes. */
 export type RelayAnswerHead = Omit<RelayAnswer, 'events'>;
 
 export function encodeRelayQuery(query: RelayQuery): Uint8Array {
@@ -66,7 +66,7 @@
   return toBinary(RelayFrameSchema, create(RelayFrameSchema, { body: { case: 'query', value } }));
 }
 
-/** An answer whose changes go to several routers, and so are encoded once. */
+/** Encodes a response around encoded changes, which several responses can share. */
 export function encodeRelayAnswer(head: RelayAnswerHead, changes: EncodedChanges): Uint8Array {
   const fields: Contents<ObjectAnswer> = {
     number: head.number,
@@ -74,7 +74,7 @@
     changes: [],
     revision: BigInt(head.position.revision),
     ...encodeEra(head.position.era),
-    // Rounded up and down so that an answer never seems younger than it is.
+    // The age is rounded up and the wait down, so that a response never appears newer than it is.
     proofAgeMs: Math.min(MAXIMUM_AGE_MS, Math.ceil(head.proofAgeMs)),
     heldMs: Math.floor(head.heldMs),
     deflatedChanges: changes.kind === 'deflated' ? changes.bytes : new Uint8Array(),
@@ -88,7 +88,7 @@
   return writer.join().finish();
 }
 
-/** Undefined where the frame is malformed. */
+/** Returns undefined if the frame is malformed. */
 export function decodeRelayFrame(frame: Uint8Array): RelayMessage | undefined {
   try {
     return toMessage(fromBinary(RelayFrameSchema, frame).body);
@@ -101,8 +101,8 @@
   switch (body.case) {
     case 'query': {
       const { number, kind, revision, era, waitMs, acceptsDeflated } = body.value;
-      const asked = decodePosition(revision, era);
-      const position = asked.revision === 0 ? undefined : asked;
+      const requested = decodePosition(revision, era);
+      const position = requested.revision === 0 ? undefined : requested;
       const query = { number, kind, position, waitMs, acceptsDeflated };
       return { kind: 'query', query };
     }
@@ -121,7 +121,7 @@
   }
 }
 
-/** Throws where the contents are not JSON. */
+/** Throws if the contents are not valid JSON. */
 function decodeChange(
   { name, revision, contents, isGone }: ObjectChange,
   era: number,
--- a/src/protocol/plain-backend/http-client.ts
+++ b/src/protocol/plain-backend/http-client.ts
@@ -1,4 +1,4 @@
-/** The plain back end port over HTTP (docs/INTERFACES.md, "Plain back end"). */
+/** Implements the plain back end port over HTTP (docs/INTERFACES.md, "Plain back end"). */
 import { HttpStatus } from '../http-status.js';
 import { z } from 'zod';
 import { toProtocolError } from '../errors.js';
@@ -20,7 +20,7 @@
   z.object({ state: z.literal('fenced'), first: z.boolean() }),
 ]);
 
-/** Plain back ends reached over HTTP. */
+/** Client of plain back ends over HTTP. */
 export class HttpPlainBackendClient implements PlainBackendPort {
   async invoke(address: string, invocation: BackendInvocation): Promise<InvocationResult> {
     const { requestId, tenant, service, operation, timeoutMs } = invocation;
@@ -31,29 +31,29 @@
       arguments: JSON.parse(Buffer.from(invocation.payload).toString('utf8')) as unknown,
     };
     try {
-      return resultOf(await exchangeJson('POST', address, path, payload, timeoutMs));
+      return toInvocationResult(await exchangeJson('POST', address, path, payload, timeoutMs));
     } catch (error) {
-      return failureOf(error, address);
+      return toInvocationFailure(error, address);
     }
   }
 
   async lookup(address: string, requestId: string): Promise<LookupResult> {
     const path = `/v1/requests/${encodeURIComponent(requestId)}`;
     try {
-      const answer = await exchangeJson('GET', address, path, undefined, LOOKUP_TIMEOUT_MS);
-      const lookup = lookupSchema.safeParse(answer.body);
+      const response = await exchangeJson('GET', address, path, undefined, LOOKUP_TIMEOUT_MS);
+      const lookup = lookupSchema.safeParse(response.body);
       if (!lookup.success) return { kind: 'unavailable' };
-      return lookupOf(lookup.data);
+      return toLookupResult(lookup.data);
     } catch {
       return { kind: 'unavailable' };
     }
   }
 }
 
-function lookupOf(body: z.infer<typeof lookupSchema>): LookupResult {
+function toLookupResult(body: z.infer<typeof lookupSchema>): LookupResult {
   switch (body.state) {
     case 'answered':
-      return { kind: 'answered', answer: answerOf(body.status, body.body) };
+      return { kind: 'answered', answer: toBackendAnswer(body.status, body.body) };
     case 'running':
       return { kind: 'running' };
     case 'fenced':
@@ -61,21 +61,21 @@
   }
 }
 
-function resultOf(answer: JsonAnswer): InvocationResult {
-  const refusal = refusalSchema.safeParse(answer.body);
+function toInvocationResult(response: JsonAnswer): InvocationResult {
+  const refusal = refusalSchema.safeParse(response.body);
   if (refusal.success) return { kind: 'refused', reason: refusal.data.reason };
-  if (answer.status >= HttpStatus.ServerError) {
-    return { kind: 'interrupted', reason: `status ${answer.status}` };
+  if (response.status >= HttpStatus.ServerError) {
+    return { kind: 'interrupted', reason: `status ${response.status}` };
   }
-  return { kind: 'answered', answer: answerOf(answer.status, answer.body) };
+  return { kind: 'answered', answer: toBackendAnswer(response.status, response.body) };
 }
 
-function failureOf(error: unknown, address: string): InvocationResult {
+function toInvocationFailure(error: unknown, address: string): InvocationResult {
   const cause = toProtocolError(error, address);
   if (cause.kind === 'unreachable') return { kind: 'unreachable', reason: cause.reason };
   return { kind: 'interrupted', reason: 'connection lost' };
 }
 
-function answerOf(status: number, body: unknown): BackendAnswer {
+function toBackendAnswer(status: number, body: unknown): BackendAnswer {
   return { status, body: new TextEncoder().encode(JSON.stringify(body)) };
 }
--- a/src/protocol/plain-backend/port.ts
+++ b/src/protocol/plain-backend/port.ts
@@ -1,4 +1,4 @@
-/** What the system expects of a plain back end: operations with a request identifier, and a lookup. */
+/** Interface to plain back ends: operations, and lookups by request identifier. */
 
 /** An operation to run. */
 export interface BackendInvocation {
@@ -11,43 +11,43 @@
   readonly timeoutMs: number;
 }
 
-/** The answer of an operation. */
+/** The response to an operation. */
 export interface BackendAnswer {
   readonly status: number;
   readonly body: Uint8Array;
 }
 
-/** Ends a request's second identifier, used where the first one was closed unused. */
+/** Suffix of a request's second identifier, used if a lookup fenced the first one. */
 export const SECOND_IDENTIFIER_SUFFIX = '~2';
 
-/** Reason of a refusal whose identifier a lookup has closed. */
+/** Reason of a rejection because a lookup fenced the identifier. */
 export const FENCED_REASON = 'fenced';
 
 /** Result of an invocation. */
 export type InvocationResult =
   | { readonly kind: 'answered'; readonly answer: BackendAnswer }
-  /** The back end did not take it: it ran nothing. */
+  /** The back end rejected the request without running it. */
   | { readonly kind: 'refused'; readonly reason: string }
-  /** Nothing was sent. */
+  /** No connection could be made; nothing was sent. */
   | { readonly kind: 'unreachable'; readonly reason: string }
-  /** Sent, and lost or timed out. */
+  /** The connection was lost or timed out after sending; the operation may have run. */
   | { readonly kind: 'interrupted'; readonly reason: string };
 
-/** What a back end knows of a request identifier. */
+/** State of a request identifier at a back end. */
 export type LookupResult =
   | { readonly kind: 'answered'; readonly answer: BackendAnswer }
   | { readonly kind: 'running' }
   /**
-   * Never seen, and from now on refused: it has not run and will not. `first` for exactly one asker,
-   * who may then run it under another identifier.
+   * The identifier was not used, and the back end rejects it from now on. `first` is true for
+   * exactly one lookup, whose caller may run the operation under another identifier.
    */
   | { readonly kind: 'fenced'; readonly first: boolean }
-  /** No answer, or the back end offers no lookup. */
+  /** No response, or the back end does not support lookups. */
   | { readonly kind: 'unavailable' };
 
 /** Calls to plain back ends. */
 export interface PlainBackendPort {
   invoke(address: string, invocation: BackendInvocation): Promise<InvocationResult>;
-  /** Asks for a request's outcome; one never seen is fenced by the asking. */
+  /** Queries the outcome of a request; fences the identifier if it was not used yet. */
   lookup(address: string, requestId: string): Promise<LookupResult>;
 }
