--- a/src/state/admission.ts
+++ b/src/state/admission.ts
@@ -1,10 +1,10 @@
-/** Limits how many requests of one tenant run at once through one router. */
+/** Limits the concurrent requests of each tenant at one router. */
 
-/** Requests running now, by tenant. */
+/** Counts running requests by tenant. */
 export class Admission {
   private readonly running = new Map<string, number>();
 
-  /** Takes a place for the tenant; false where all its places are taken. */
+  /** Takes a slot of the tenant; returns false if all its slots are taken. */
   tryEnter(tenant: string, maximum: number): boolean {
     const present = this.running.get(tenant) ?? 0;
     if (present >= maximum) return false;
@@ -12,14 +12,14 @@
     return true;
   }
 
-  /** Gives a place back. */
+  /** Releases a slot of the tenant. */
   leave(tenant: string): void {
     const present = this.running.get(tenant) ?? 0;
     if (present <= 1) this.running.delete(tenant);
     else this.running.set(tenant, present - 1);
   }
 
-  /** Requests of all tenants. */
+  /** Running requests of all tenants. */
   get total(): number {
     let total = 0;
     for (const count of this.running.values()) total += count;
--- a/src/state/backoff.ts
+++ b/src/state/backoff.ts
@@ -1,11 +1,11 @@
-/** Pauses between attempts: exponential with full jitter. */
+/** Retry delays: exponential backoff with full jitter. */
 import type { RandomSource } from '../runtime/random.js';
 
 const FIRST_CEILING_MS = 20;
-const LARGEST_CEILING_MS = 1_000;
+const MAXIMUM_CEILING_MS = 1_000;
 
-/** A random pause below a ceiling that doubles with each attempt (0 for the first retry). */
+/** Returns a random delay below a ceiling that doubles with each retry; the first has index 0. */
 export function backoffDelayMs(random: RandomSource, retryIndex: number): number {
-  const ceilingMs = Math.min(LARGEST_CEILING_MS, FIRST_CEILING_MS * 2 ** retryIndex);
+  const ceilingMs = Math.min(MAXIMUM_CEILING_MS, FIRST_CEILING_MS * 2 ** retryIndex);
   return random.next() * ceilingMs;
 }
--- a/src/state/bounded-cache.ts
+++ b/src/state/bounded-cache.ts
@@ -1,15 +1,15 @@
-/** A least-recently-used table that grows with its contents instead of being laid out in full. */
+/** A least-recently-used cache that allocates memory as it grows. */
 import { LRUCache } from 'lru-cache';
 
-/** How long entries are kept, by a given clock. */
+/** Time to live of entries, by a given clock. */
 export interface Retention {
   readonly retentionMs: number;
   readonly now: () => number;
 }
 
 /**
- * At most `maximumEntries`, the least recently used out first. The bound is given as a size, since
- * `lru-cache` allocates its whole index at once for a bound by count.
+ * Creates a cache of at most `maximumEntries` that evicts the least recently used entry. The limit
+ * is set by size, since `lru-cache` allocates its whole index up front for a limit by count.
  */
 export function createBoundedCache<Key extends string | bigint, Value extends object | number>(
   maximumEntries: number,
@@ -21,7 +21,7 @@
     ...bound,
     ttl: retention.retentionMs,
     ttlResolution: 0,
-    // The library reads 0 as "no time yet".
+    // The library treats time 0 as unset.
     perf: { now: () => Math.max(1, retention.now()) },
   });
 }
--- a/src/state/circuit-breaker.ts
+++ b/src/state/circuit-breaker.ts
@@ -1,20 +1,20 @@
-/** Keeps work away from a back end that fails, and lets single probes find out when it is back. */
+/** Circuit breaker: stops work to a failing back end and probes whether it has recovered. */
 
 /** State of a breaker. */
 export enum BreakerState {
-  /** Work passes. */
+  /** Work is sent. */
   Closed = 'closed',
-  /** No work passes until the pause is over. */
+  /** No work is sent until the pause ends. */
   Open = 'open',
-  /** One probe is under way; its result decides. */
+  /** One probe is in progress; its result closes or reopens the breaker. */
   HalfOpen = 'half-open',
 }
 
 const FAILURES_TO_OPEN = 3;
 const FIRST_PAUSE_MS = 500;
-const LONGEST_PAUSE_MS = 8_000;
+const MAXIMUM_PAUSE_MS = 8_000;
 
-/** One breaker for one back end. Time is given with each call. */
+/** Breaker of one back end. */
 export class CircuitBreaker {
   private current = BreakerState.Closed;
   private failures = 0;
@@ -26,33 +26,33 @@
     return this.current;
   }
 
-  /** Whether work may be sent now. Does not change anything. */
+  /** Whether work may be sent now. Does not change the state. */
   mayPass(nowMs: number): boolean {
     if (this.current === BreakerState.Closed) return true;
     if (this.current === BreakerState.Open) return nowMs >= this.openUntilMs;
-    // A probe whose result never came must not shut the back end out for good.
+    // Allows another probe if the result of the last one was lost.
     return nowMs >= this.probeDeadlineMs;
   }
 
-  /** Notes that work was sent. After the pause this is the probe. */
+  /** Records that work was sent; after a pause it is the probe. */
   onSent(nowMs: number): void {
     if (this.current === BreakerState.Closed) return;
     this.current = BreakerState.HalfOpen;
     this.probeDeadlineMs = nowMs + this.pauseMs;
   }
 
-  /** A success proves the back end, whatever the state was. */
+  /** Closes the breaker and resets the pause, in any state. */
   onSuccess(): void {
     this.current = BreakerState.Closed;
     this.failures = 0;
     this.pauseMs = FIRST_PAUSE_MS;
   }
 
-  /** A failed probe opens again with a doubled pause; failures in a row open a closed breaker. */
+  /** Opens the breaker after repeated failures, or with a doubled pause after a failed probe. */
   onFailure(nowMs: number): void {
     this.failures += 1;
     if (this.current === BreakerState.HalfOpen) {
-      this.pauseMs = Math.min(LONGEST_PAUSE_MS, this.pauseMs * 2);
+      this.pauseMs = Math.min(MAXIMUM_PAUSE_MS, this.pauseMs * 2);
     } else if (this.failures < FAILURES_TO_OPEN) {
       return;
     }
--- a/src/state/engine-table.ts
+++ b/src/state/engine-table.ts
@@ -1,7 +1,7 @@
-/** What a router knows of each engine: where it is, what it serves and how loaded it is. */
+/** Last known state of each engine: its address, what it serves and its load. */
 import { CircuitBreaker } from './circuit-breaker.js';
 
-/** What the machine list says of an engine. */
+/** An engine's entry in the machine list. */
 export interface EngineMachine {
   readonly engineId: string;
   /** `HOST:PORT` of its HTTP interface. */
@@ -11,43 +11,43 @@
   readonly leaving: boolean;
 }
 
-/** What an engine serves: its cache is of use only for the same. */
+/** Model, weights and adapter that an engine serves. Its cache is valid only for the same three. */
 export interface ServedModel {
   readonly model: string;
   readonly weightsDigest: string;
   readonly adapterDigest: string;
 }
 
-/** What the engine says of itself. */
+/** Status that an engine reported. */
 export interface EngineReport extends ServedModel {
   readonly engineId: string;
-  /** Grows with each start of the engine; all kept cache of an earlier one is gone. */
+  /** Increases with each start of the engine, which empties its cache. */
   readonly incarnation: number;
   readonly leaving: boolean;
   readonly load: EngineLoad;
-  /** Wall clock time at which the owner of the engine's feed read it, in milliseconds. */
+  /** Wall-clock time at which the owner of the engine's feed received it, in milliseconds. */
   readonly observedAtMs: number;
 }
 
 /** Load of an engine, as of its last report. */
 export interface EngineLoad {
-  /** Prompt tokens accepted but not yet computed. */
+  /** Accepted prompt tokens that are not computed yet. */
   readonly waitingTokens: number;
   /** Requests waiting and running. */
   readonly requests: number;
   /** Requests that may run at once. */
   readonly maximumRequests: number;
-  /** Prompt tokens computed a second. */
+  /** Prompt tokens computed per second. */
   readonly prefillTokensPerSecond: number;
 }
 
 const MS_PER_SECOND = 1_000;
-/** Wait reckoned for each request over what the engine runs at once. */
-const QUEUED_REQUEST_MS = 60;
-/** Wait reckoned for each request that shares the batch. */
-const BATCHED_REQUEST_MS = 0.6;
+/** Estimated wait for each request beyond the engine's maximum. */
+const QUEUED_REQUEST_WAIT_MS = 60;
+/** Estimated wait for each request in the batch. */
+const BATCHED_REQUEST_WAIT_MS = 0.6;
 
-/** An engine as the router sees it. */
+/** Last known state of one engine. */
 export class EngineRecord {
   readonly breaker = new CircuitBreaker();
   report: EngineReport | undefined;
@@ -58,32 +58,33 @@
 
   constructor(public machine: EngineMachine) {}
 
-  /** Takes over a report and reckons from it what the choice reads for every request. */
+  /** Applies a report and updates the estimates that are derived from its load. */
   setReport(report: EngineReport): void {
     this.report = report;
     this.setLoad(report.load);
   }
 
-  /** Takes over a load alone, as an answer of the engine brought it. */
+  /** Applies a load without a report, as received with a response of the engine. */
   setLoad(load: EngineLoad): void {
     const { waitingTokens, requests, maximumRequests, prefillTokensPerSecond } = load;
     this.tokenMs = MS_PER_SECOND / Math.max(1, prefillTokensPerSecond);
     const overflow = Math.max(0, requests - maximumRequests);
     this.waitMs =
-      waitingTokens * this.tokenMs + overflow * QUEUED_REQUEST_MS + requests * BATCHED_REQUEST_MS;
+      waitingTokens * this.tokenMs +
+      overflow * QUEUED_REQUEST_WAIT_MS +
+      requests * BATCHED_REQUEST_WAIT_MS;
   }
 
-  /** Takes over what changes of a load; speed and size stay as last reported. */
+  /** Applies the variable part of a load; speed and capacity remain as last reported. */
   mergeLoad(waitingTokens: number, requests: number): void {
     if (this.report) this.setLoad({ ...this.report.load, waitingTokens, requests });
   }
 
-  /** Counts prompt tokens this router sent, which the next report will contain. */
+  /** Adds prompt tokens sent by this router that the last report does not include. */
   addUnreported(tokens: number): void {
     this.waitMs += tokens * this.tokenMs;
   }
 
-  /** Whether it serves exactly this. */
   serves(served: ServedModel): boolean {
     const { report } = this;
     if (!report || report.model !== served.model) return false;
@@ -91,29 +92,29 @@
     return report.adapterDigest === served.adapterDigest;
   }
 
-  /** Whether new work may go to the engine. */
-  takesNewWork(nowMs: number): boolean {
+  /** Whether new work may be sent to the engine. */
+  acceptsNewWork(nowMs: number): boolean {
     if (this.machine.leaving || this.report === undefined || this.report.leaving) return false;
     return this.breaker.mayPass(nowMs);
   }
 }
 
-/** Engines that serve the same in one zone. */
+/** Engines in one zone that serve the same model, weights and adapter. */
 export interface EngineGroup {
   readonly site: string;
   readonly zone: string;
   readonly engines: EngineRecord[];
 }
 
-/** The engines of the machine list, with their last reports. */
+/** All engines of the machine list, with their last reports. */
 export class EngineTable {
   private readonly records = new Map<string, EngineRecord>();
-  /** Reports that came before the machine list named the engine. */
-  private readonly early = new Map<string, EngineReport>();
-  /** Engines by what they serve; rebuilt when that or a place changes. */
+  /** Reports of engines that are not on the machine list yet. */
+  private readonly unlistedReports = new Map<string, EngineReport>();
+  /** Engines by what they serve; undefined until rebuilt after a change. */
   private groups: Map<string, EngineGroup[]> | undefined;
 
-  /** Takes over the machine list; engines no longer on it are forgotten. */
+  /** Applies a new machine list; removes engines that are no longer on it. */
   replaceMachines(machines: readonly EngineMachine[]): void {
     const listed = new Set(machines.map((machine) => machine.engineId));
     for (const engineId of [...this.records.keys()]) {
@@ -124,15 +125,15 @@
   }
 
   /**
-   * Takes a report. One older than the present one is late and dropped (answers false).
-   * A new incarnation closes the breaker: the failures belonged to the one before.
+   * Applies a report; returns false, without applying it, if it is not newer than the last one. A
+   * new incarnation closes the breaker, since the failures were those of the previous incarnation.
    */
   putReport(report: EngineReport): boolean {
     const present = this.reportOf(report.engineId);
     if (present && !isNewer(report, present)) return false;
     const record = this.records.get(report.engineId);
     if (!record) {
-      this.early.set(report.engineId, report);
+      this.unlistedReports.set(report.engineId, report);
       return true;
     }
     if (present && present.incarnation < report.incarnation) record.breaker.onSuccess();
@@ -145,9 +146,9 @@
     return this.records.get(engineId);
   }
 
-  /** The last report, also of an engine that the machine list does not name yet. */
+  /** The last report of an engine, even if it is not on the machine list yet. */
   reportOf(engineId: string): EngineReport | undefined {
-    return this.records.get(engineId)?.report ?? this.early.get(engineId);
+    return this.records.get(engineId)?.report ?? this.unlistedReports.get(engineId);
   }
 
   all(): IterableIterator<EngineRecord> {
@@ -158,9 +159,9 @@
     return this.records.size;
   }
 
-  /** Engines that serve exactly this, a group for each zone. */
+  /** Engines that serve exactly the given model, weights and adapter, in groups by zone. */
   serving(served: ServedModel): readonly EngineGroup[] {
-    this.groups ??= this.group();
+    this.groups ??= this.groupRecords();
     return this.groups.get(groupKeyOf(served)) ?? NO_ENGINES;
   }
 
@@ -171,13 +172,13 @@
       return;
     }
     const record = new EngineRecord(machine);
-    const early = this.early.get(machine.engineId);
-    if (early) record.setReport(early);
-    this.early.delete(machine.engineId);
+    const report = this.unlistedReports.get(machine.engineId);
+    if (report) record.setReport(report);
+    this.unlistedReports.delete(machine.engineId);
     this.records.set(machine.engineId, record);
   }
 
-  private group(): Map<string, EngineGroup[]> {
+  private groupRecords(): Map<string, EngineGroup[]> {
     const groups = new Map<string, EngineGroup[]>();
     for (const record of this.records.values()) {
       if (!record.report) continue;
--- a/src/state/event-feed.ts
+++ b/src/state/event-feed.ts
@@ -1,9 +1,9 @@
 /**
- * Folds one engine's cache events (a block stored, a block removed) into changes of marks.
+ * Converts the cache events of one engine (block stored, block removed) to changes of marks.
  *
- * The owner of a feed runs one of these an engine. Only marks leave it, each with its root, so that
- * what nodes tell each other is a sixteenth of what the engine tells its owner. Each block's place is
- * one small integer, which keeps a believed block under 100 bytes.
+ * The owner of a feed has one instance for each engine. It announces only marks, each with its
+ * root, which are a sixteenth of the blocks. The position of a block is stored as one integer to
+ * save memory.
  */
 import { MARK_BLOCKS } from './prefix-chain.js';
 
@@ -11,104 +11,104 @@
 export interface CacheEvent {
   readonly kind: 'stored' | 'removed';
   readonly block: bigint;
-  /** Hash before it in the chain; undefined for the first block of a chain. */
+  /** Preceding hash in the chain; undefined for the first block. */
   readonly parent: bigint | undefined;
 }
 
-/** A mark that an engine began or ceased to keep. */
+/** A mark that was added to or removed from an engine's cache. */
 export interface MarkChange {
   readonly root: bigint;
   readonly mark: bigint;
   readonly present: boolean;
 }
 
-/** Blocks before a block take the low bits of its place, the number of its root the high ones. */
+/** Factor of the root number in a position; the remainder is the block's depth in its chain. */
 const DEPTH_RANGE = 4_096;
-/** Blocks deeper than this are not followed: 65,000 tokens. */
-const DEEPEST = DEPTH_RANGE - 1;
-/** Root number of blocks before the first mark. */
+/** Blocks at a greater depth are ignored. */
+const MAXIMUM_DEPTH = DEPTH_RANGE - 1;
+/** Root number of blocks before the first mark of a chain. */
 const NO_ROOT = 0;
 
-/** The kept blocks of one engine incarnation, as far as its events told. */
+/** Cached blocks of one engine incarnation, according to its events. */
 export class EventFeed {
-  /** Place of each block: root number times DEPTH_RANGE plus depth. */
-  private readonly places = new Map<bigint, number>();
+  /** Position of each block: its root number times DEPTH_RANGE plus its depth. */
+  private readonly positions = new Map<bigint, number>();
   private readonly roots: (bigint | undefined)[] = [undefined];
   private readonly freeRoots: number[] = [];
 
-  /** Blocks believed kept. */
+  /** Number of cached blocks. */
   get size(): number {
-    return this.places.size;
+    return this.positions.size;
   }
 
-  /** Applies an event; answers the change of a mark where there is one. */
+  /** Applies an event; returns the resulting change of a mark, if any. */
   apply(event: CacheEvent): MarkChange | undefined {
     return event.kind === 'stored' ? this.store(event) : this.remove(event.block);
   }
 
-  /** Takes a snapshot's blocks, parents first, for all that is kept; answers what differs. */
+  /** Replaces all blocks by those of a snapshot, parents first; returns the changed marks. */
   replaceBy(blocks: Iterable<CacheEvent>): MarkChange[] {
-    const lost = new Map([...this.marks()].map((change) => [change.mark, change]));
-    this.places.clear();
+    const removedMarks = new Map([...this.marks()].map((change) => [change.mark, change]));
+    this.positions.clear();
     this.roots.length = 1;
     this.freeRoots.length = 0;
     const changes: MarkChange[] = [];
     for (const block of blocks) {
       const change = this.apply(block);
-      if (change && !lost.delete(change.mark)) changes.push(change);
+      if (change && !removedMarks.delete(change.mark)) changes.push(change);
     }
-    for (const change of lost.values()) changes.push({ ...change, present: false });
+    for (const change of removedMarks.values()) changes.push({ ...change, present: false });
     return changes;
   }
 
-  /** All marks kept, for a home that has just taken over. */
+  /** All cached marks, for a router that has just become their home. */
   *marks(): Generator<MarkChange> {
-    for (const [mark, place] of this.places) {
-      const change = this.changeOf(mark, place, true);
+    for (const [mark, position] of this.positions) {
+      const change = this.changeOf(mark, position, true);
       if (change) yield change;
     }
   }
 
   private store(event: CacheEvent): MarkChange | undefined {
-    const place = this.placeAfter(event);
-    if (place === undefined) return undefined;
-    this.places.set(event.block, place);
-    return this.changeOf(event.block, place, true);
+    const position = this.positionAfter(event);
+    if (position === undefined) return undefined;
+    this.positions.set(event.block, position);
+    return this.changeOf(event.block, position, true);
   }
 
-  /** A block whose parent was lost in a gap has no known place; the next snapshot brings it. */
-  private placeAfter(event: CacheEvent): number | undefined {
+  /** Undefined if the parent is unknown because of a gap; the next snapshot includes the block. */
+  private positionAfter(event: CacheEvent): number | undefined {
     if (event.parent === undefined) return 0;
-    const parent = this.places.get(event.parent);
-    if (parent === undefined || depthOf(parent) >= DEEPEST) return undefined;
+    const parent = this.positions.get(event.parent);
+    if (parent === undefined || depthOf(parent) >= MAXIMUM_DEPTH) return undefined;
     const depth = depthOf(parent) + 1;
-    const present = this.places.get(event.block);
+    const present = this.positions.get(event.block);
     if (depth !== MARK_BLOCKS - 1) return parent + 1;
-    return present ?? this.claimRoot(event.block) * DEPTH_RANGE + depth;
+    return present ?? this.allocateRoot(event.block) * DEPTH_RANGE + depth;
   }
 
   private remove(block: bigint): MarkChange | undefined {
-    const place = this.places.get(block);
-    if (place === undefined) return undefined;
-    this.places.delete(block);
-    const change = this.changeOf(block, place, false);
-    if (change?.root === block) this.releaseRoot(rootOf(place));
+    const position = this.positions.get(block);
+    if (position === undefined) return undefined;
+    this.positions.delete(block);
+    const change = this.changeOf(block, position, false);
+    if (change?.root === block) this.releaseRoot(rootOf(position));
     return change;
   }
 
-  private changeOf(mark: bigint, place: number, present: boolean): MarkChange | undefined {
-    if (depthOf(place) % MARK_BLOCKS !== MARK_BLOCKS - 1) return undefined;
-    const root = this.roots[rootOf(place)];
+  private changeOf(mark: bigint, position: number, present: boolean): MarkChange | undefined {
+    if (depthOf(position) % MARK_BLOCKS !== MARK_BLOCKS - 1) return undefined;
+    const root = this.roots[rootOf(position)];
     return root === undefined ? undefined : { root, mark, present };
   }
 
-  private claimRoot(root: bigint): number {
+  private allocateRoot(root: bigint): number {
     const number = this.freeRoots.pop() ?? this.roots.length;
     this.roots[number] = root;
     return number;
   }
 
-  /** Blocks below a removed root went before it, but for those whose removal a gap hid. */
+  /** Blocks after a root are removed before it, except for removals removedMarks in a gap. */
   private releaseRoot(number: number): void {
     if (number === NO_ROOT) return;
     this.roots[number] = undefined;
@@ -116,10 +116,10 @@
   }
 }
 
-function depthOf(place: number): number {
-  return place % DEPTH_RANGE;
+function depthOf(position: number): number {
+  return position % DEPTH_RANGE;
 }
 
-function rootOf(place: number): number {
-  return Math.floor(place / DEPTH_RANGE);
+function rootOf(position: number): number {
+  return Math.floor(position / DEPTH_RANGE);
 }
--- a/src/state/heartbeats.ts
+++ b/src/state/heartbeats.ts
@@ -1,10 +1,11 @@
 /**
- * When each member of the group last sent something. Every datagram that a member sends is a heartbeat;
- * routers of a large group share the ages of those they heard. An age only grows on its way, so nothing
- * makes a silent member seem younger: not how news travel, nor another router's clock. Pure.
+ * Time of the last heartbeat of each member. Every datagram from a member is a heartbeat. Routers
+ * of a large group also announce the ages of the heartbeats that they received. Ages are relative
+ * and only grow in transit, so that neither delays nor clock differences make a heartbeat appear
+ * more recent.
  */
 
-/** A member and how long ago it was heard. */
+/** A member and the age of its last heartbeat. */
 export interface HeartbeatAge {
   readonly nodeId: string;
   readonly ageMs: number;
@@ -12,33 +13,38 @@
 
 /** Last heartbeats by member. */
 export class Heartbeats {
-  private readonly heardMs = new Map<string, number>();
+  private readonly lastHeartbeatMs = new Map<string, number>();
 
-  /** @param ageMs how long ago the heartbeat was, where it was heard by another */
+  /**
+   * Records a heartbeat.
+   *
+   * @param ageMs age of the heartbeat, if another router received it
+   */
   note(nodeId: string, nowMs: number, ageMs = 0): void {
     const atMs = nowMs - ageMs;
-    if (atMs > (this.heardMs.get(nodeId) ?? -Infinity)) this.heardMs.set(nodeId, atMs);
+    if (atMs > (this.lastHeartbeatMs.get(nodeId) ?? -Infinity))
+      this.lastHeartbeatMs.set(nodeId, atMs);
   }
 
-  /** Milliseconds since the member was last heard; Infinity where it never was. */
+  /** Time since the last heartbeat of the member; Infinity if there was none. */
   silenceMs(nodeId: string, nowMs: number): number {
-    return nowMs - (this.heardMs.get(nodeId) ?? -Infinity);
+    return nowMs - (this.lastHeartbeatMs.get(nodeId) ?? -Infinity);
   }
 
-  /** Members heard within a span, in no particular order. */
+  /** Members with a heartbeat within the given time span, in no particular order. */
   within(spanMs: number, nowMs: number): HeartbeatAge[] {
-    const heard: HeartbeatAge[] = [];
-    for (const [nodeId, atMs] of this.heardMs) {
+    const recent: HeartbeatAge[] = [];
+    for (const [nodeId, atMs] of this.lastHeartbeatMs) {
       const ageMs = nowMs - atMs;
-      if (ageMs <= spanMs) heard.push({ nodeId, ageMs });
+      if (ageMs <= spanMs) recent.push({ nodeId, ageMs });
     }
-    return heard;
+    return recent;
   }
 
-  /** Forgets all but these members. */
+  /** Removes all members except the given ones. */
   retain(nodeIds: ReadonlySet<string>): void {
-    for (const nodeId of this.heardMs.keys()) {
-      if (!nodeIds.has(nodeId)) this.heardMs.delete(nodeId);
+    for (const nodeId of this.lastHeartbeatMs.keys()) {
+      if (!nodeIds.has(nodeId)) this.lastHeartbeatMs.delete(nodeId);
     }
   }
 }
--- a/src/state/member-key.ts
+++ b/src/state/member-key.ts
@@ -1,9 +1,9 @@
-/** A short key of a member for datagrams that name many: FNV-1a of its identifier, 32 bits. */
+/** Short keys for members in datagrams that list many: the 32-bit FNV-1a hash of the identifier. */
 
 const OFFSET_BASIS = 0x811c9dc5;
 const PRIME = 0x01000193;
 
-/** Unsigned 32-bit key; two of some hundred identifiers share one with a chance of 1 in 100,000. */
+/** Returns an unsigned 32-bit key. Collisions are unlikely for groups of some hundred members. */
 export function memberKey(nodeId: string): number {
   let hash = OFFSET_BASIS;
   for (const byte of Buffer.from(nodeId, 'utf8')) {
--- a/src/state/membership.ts
+++ b/src/state/membership.ts
@@ -1,21 +1,21 @@
 /**
- * Membership of routers: SWIM with suspicion and incarnation numbers, as a pure state machine.
- * Time comes with each call and datagrams to send are returned, so hundreds run on a virtual clock.
- * Source: Das, Gupta, Motivala, "SWIM", DSN 2002.
+ * Membership of the routers by SWIM with suspicion and incarnation numbers
+ * (Das, Gupta, Motivala, "SWIM", DSN 2002).
+ * A pure state machine: callers pass the time and send the returned datagrams.
  */
 import { type RandomSource, randomInteger } from '../runtime/random.js';
 
-/** What is known of a member. */
+/** Last known status of a member. */
 export enum MemberStatus {
   Alive = 'alive',
-  /** Missed a probe; dead unless it refutes in time. */
+  /** Did not respond to a probe; declared dead unless it refutes the suspicion in time. */
   Suspect = 'suspect',
   Dead = 'dead',
-  /** Said itself that it leaves: finishes its work, takes no new. */
+  /** Announced that it leaves: it finishes its work and accepts no new work. */
   Leaving = 'leaving',
 }
 
-/** A member's addresses and place. */
+/** Identifier, addresses and location of a member. */
 export interface MemberIdentity {
   readonly nodeId: string;
   readonly peerAddress: string;
@@ -26,14 +26,13 @@
   readonly capacity: number;
 }
 
-/** A statement about a member. */
+/** An announcement of a member's status. */
 export interface MemberUpdate extends MemberIdentity {
   readonly status: MemberStatus;
-  /** Only the member itself raises it, to refute a suspicion. */
+  /** Increased only by the member itself, to refute a suspicion. */
   readonly incarnation: number;
 }
 
-/** Kinds of datagram. */
 export type GossipKind = 'ping' | 'ack' | 'ping-request';
 
 /** A datagram, before encoding. */
@@ -41,36 +40,36 @@
   readonly kind: GossipKind;
   readonly sender: string;
   readonly sequence: number;
-  /** The member an indirect probe is about. */
+  /** Target of an indirect probe. */
   readonly subject: string;
   readonly updates: readonly MemberUpdate[];
 }
 
-/** A datagram and where it goes. */
+/** A datagram and its destination. */
 export interface OutgoingGossip {
   readonly address: string;
   readonly message: GossipMessage;
 }
 
-/** Period of one probe; also the longest wait for its answer. */
+/** Interval between probes, and the timeout of each. */
 export const PROBE_PERIOD_MS = 1_000;
-/** Wait for the direct answer before others are asked. */
+/** Timeout of the direct probe, after which indirect probes are sent. */
 const DIRECT_TIMEOUT_MS = 350;
 const INDIRECT_PROBES = 3;
-/** Suspicion lasts this many periods times log10 of the group's size, 4 at least. */
+/** Duration of a suspicion in probe periods, scaled by log10 of the group's size. */
 const SUSPICION_PERIODS = 4;
-/** How often a node passes an update on: this times log2 of the group's size. */
-const SPREAD_FACTOR = 3;
-/** Updates in a datagram; keeps it under 1,200 bytes. */
+/** Transmissions of an update by each node, scaled by log2 of the group's size. */
+const TRANSMISSION_FACTOR = 3;
+/** Keeps a datagram below 1,200 bytes. */
 const UPDATES_PER_DATAGRAM = 10;
-/** How long the dead are remembered, so that old news can't revive them. */
+/** How long dead members are kept, so that a delayed announcement does not add them again. */
 const DEAD_RETENTION_MS = 600_000;
 
 /**
- * Which statement wins at equal incarnation: the graver one. Leaving ranks above suspicion, since a
- * leaving node is expected to go silent, and below dead.
+ * Precedence of statuses at the same incarnation. Leaving takes precedence over suspect, since a
+ * leaving member is expected to become unresponsive.
  */
-const GRAVITY: Record<MemberStatus, number> = {
+const STATUS_PRECEDENCE: Record<MemberStatus, number> = {
   [MemberStatus.Alive]: 0,
   [MemberStatus.Suspect]: 1,
   [MemberStatus.Leaving]: 2,
@@ -80,7 +79,7 @@
 interface Member {
   update: MemberUpdate;
   changedMs: number;
-  /** Transmissions left of the present update. */
+  /** Remaining transmissions of the update. */
   transmissions: number;
 }
 
@@ -96,18 +95,18 @@
   readonly requesterSequence: number;
 }
 
-/** One node's view of the group. */
+/** The group as known to one node. */
 export class Membership {
   private readonly members = new Map<string, Member>();
   private self: MemberUpdate;
-  /** Built anew after a change only: it is asked for with each datagram and each decision. */
-  private workingNow: readonly MemberUpdate[] | undefined;
+  /** Cached result of `working`; undefined after a change. */
+  private cachedWorking: readonly MemberUpdate[] | undefined;
   private sequence = 0;
   private probe: Probe | undefined;
   private round: string[] = [];
-  private readonly relayed = new Map<number, RelayedProbe>();
-  private view = 0;
-  /** Suspicions raised and deaths declared by this node itself, not heard from others. */
+  private readonly relayedProbes = new Map<number, RelayedProbe>();
+  private currentVersion = 0;
+  /** Members that this node itself declared suspect or dead. */
   readonly counters = { suspicions: 0, deaths: 0 };
 
   constructor(
@@ -119,41 +118,41 @@
     this.self = { ...identity, status: MemberStatus.Alive, incarnation };
   }
 
-  /** Changes with every change of the view. */
+  /** Increases with every change of a member. */
   get version(): number {
-    return this.view;
+    return this.currentVersion;
   }
 
-  /** Statement about this node. */
+  /** The announcement of this node's own status. */
   get own(): MemberUpdate {
     return this.self;
   }
 
-  /** All members known, this one included, the dead among them for a while. */
+  /** All known members, including this one and recently dead ones. */
   all(): MemberUpdate[] {
     return [this.self, ...[...this.members.values()].map((member) => member.update)];
   }
 
-  /** Members known, this one included, the dead among them for a while. */
+  /** Number of known members, including this one and recently dead ones. */
   get knownCount(): number {
     return this.members.size + 1;
   }
 
   /**
-   * Members that work: alive or suspected, this one included unless it leaves. The same list until one of
-   * its statements changes.
+   * Members that are alive or suspect, including this one unless it leaves. Returns the same array
+   * until a member changes.
    */
   working(): readonly MemberUpdate[] {
-    this.workingNow ??= this.all().filter(isWorking);
-    return this.workingNow;
+    this.cachedWorking ??= this.all().filter(isWorking);
+    return this.cachedWorking;
   }
 
-  /** Ends the previous probe and starts the next; call once a {@link PROBE_PERIOD_MS}. */
+  /** Ends the previous probe and starts the next. Call every {@link PROBE_PERIOD_MS}. */
   tick(nowMs: number): OutgoingGossip[] {
     this.finishProbe(nowMs);
     this.expire(nowMs);
     const target = this.nextTarget();
-    if (!target) return this.callSeeds();
+    if (!target) return this.pingSeeds();
     this.sequence += 1;
     this.probe = {
       target: target.nodeId,
@@ -161,10 +160,10 @@
       startedMs: nowMs,
       indirect: false,
     };
-    return [...this.ping(target.gossipAddress, this.sequence), ...this.callRandomSeed()];
+    return [...this.ping(target.gossipAddress, this.sequence), ...this.pingRandomSeed()];
   }
 
-  /** Asks others to probe where the direct answer is late; call between ticks. */
+  /** Starts indirect probes if the direct probe timed out. Call between ticks. */
   checkDirectTimeout(nowMs: number): OutgoingGossip[] {
     const probe = this.probe;
     if (!probe || probe.indirect || nowMs - probe.startedMs < DIRECT_TIMEOUT_MS) return [];
@@ -175,7 +174,7 @@
     }));
   }
 
-  /** Takes a datagram; answers what to send. */
+  /** Handles a datagram; returns the datagrams to send. */
   receive(message: GossipMessage, nowMs: number): OutgoingGossip[] {
     for (const update of message.updates) this.merge(update, nowMs);
     const sender = this.members.get(message.sender)?.update;
@@ -184,18 +183,18 @@
         if (!sender) return [];
         return [{ address: sender.gossipAddress, message: this.acknowledge(message, sender) }];
       case 'ping-request':
-        return sender ? this.relay(message, sender) : [];
+        return sender ? this.relayProbe(message, sender) : [];
       case 'ack':
-        return this.takeAck(message);
+        return this.handleAck(message);
     }
   }
 
-  /** Takes statements from outside a datagram: a whole table at joining. */
+  /** Applies updates that were not received by datagram, such as a full member list on joining. */
   mergeAll(updates: readonly MemberUpdate[], nowMs: number): void {
     for (const update of updates) this.merge(update, nowMs);
   }
 
-  /** Pings a few random members beyond the regular probe, to carry news at once. */
+  /** Pings random members in addition to the regular probe, to spread updates without delay. */
   announce(count: number): OutgoingGossip[] {
     this.sequence += 1;
     return this.sample(count, this.self.nodeId).flatMap((member) =>
@@ -203,19 +202,19 @@
     );
   }
 
-  /** Announces that this node leaves, to a few at once; the rest hear by gossip. */
+  /** Announces that this node leaves to a few members; the others learn it by gossip. */
   leave(): OutgoingGossip[] {
     this.self = {
       ...this.self,
       status: MemberStatus.Leaving,
       incarnation: this.self.incarnation + 1,
     };
-    this.noteChange();
-    const FIRST_TOLD = 5;
-    return this.announce(FIRST_TOLD);
+    this.recordChange();
+    const LEAVE_ANNOUNCEMENTS = 5;
+    return this.announce(LEAVE_ANNOUNCEMENTS);
   }
 
-  /** An answer to a sender thought suspect or dead says so, so that it can refute. */
+  /** A response to a suspect or dead sender includes that status, so that it can refute it. */
   private acknowledge(message: GossipMessage, sender: MemberUpdate): GossipMessage {
     const ack = this.message('ack', message.sequence, '');
     if (sender.status === MemberStatus.Alive) return ack;
@@ -247,17 +246,17 @@
     return targets;
   }
 
-  private callSeeds(): OutgoingGossip[] {
+  private pingSeeds(): OutgoingGossip[] {
     this.sequence += 1;
     return this.seeds
       .filter((address) => address !== this.self.gossipAddress)
       .flatMap((address) => this.ping(address, this.sequence));
   }
 
-  /** Now and then calls a seed that is not a member, so that two halves of a group find together. */
-  private callRandomSeed(): OutgoingGossip[] {
-    const SEED_CALL_CHANCE = 0.1;
-    if (this.random.next() >= SEED_CALL_CHANCE) return [];
+  /** Occasionally pings a seed that is not a working member, to merge a partitioned group. */
+  private pingRandomSeed(): OutgoingGossip[] {
+    const SEED_PING_PROBABILITY = 0.1;
+    if (this.random.next() >= SEED_PING_PROBABILITY) return [];
     const present = new Set(this.working().map((member) => member.gossipAddress));
     const absent = this.seeds.filter((address) => !present.has(address));
     const address = absent[randomInteger(this.random, absent.length)];
@@ -268,25 +267,25 @@
     return [{ address, message: this.message('ping', sequence, '') }];
   }
 
-  private relay(message: GossipMessage, requester: MemberUpdate): OutgoingGossip[] {
+  private relayProbe(message: GossipMessage, requester: MemberUpdate): OutgoingGossip[] {
     const subject = this.members.get(message.subject)?.update;
     if (!subject) return [];
     this.sequence += 1;
-    this.relayed.set(this.sequence, {
+    this.relayedProbes.set(this.sequence, {
       requesterAddress: requester.gossipAddress,
       requesterSequence: message.sequence,
     });
     return this.ping(subject.gossipAddress, this.sequence);
   }
 
-  private takeAck(message: GossipMessage): OutgoingGossip[] {
-    const relayed = this.relayed.get(message.sequence);
-    if (relayed) {
-      this.relayed.delete(message.sequence);
+  private handleAck(message: GossipMessage): OutgoingGossip[] {
+    const relayedProbe = this.relayedProbes.get(message.sequence);
+    if (relayedProbe) {
+      this.relayedProbes.delete(message.sequence);
       return [
         {
-          address: relayed.requesterAddress,
-          message: this.message('ack', relayed.requesterSequence, ''),
+          address: relayedProbe.requesterAddress,
+          message: this.message('ack', relayedProbe.requesterSequence, ''),
         },
       ];
     }
@@ -297,12 +296,12 @@
   private finishProbe(nowMs: number): void {
     const probe = this.probe;
     this.probe = undefined;
-    this.relayed.clear();
+    this.relayedProbes.clear();
     if (!probe) return;
     const member = this.members.get(probe.target);
     if (!member) return;
     const { status } = member.update;
-    // A leaving member that falls silent has gone, as it said; it needs no suspicion.
+    // An unresponsive leaving member has left as announced and is not suspected first.
     if (status === MemberStatus.Leaving) this.declare(member, MemberStatus.Dead, nowMs);
     if (status === MemberStatus.Alive) this.declare(member, MemberStatus.Suspect, nowMs);
   }
@@ -335,12 +334,12 @@
   private put(update: MemberUpdate, nowMs: number): void {
     const transmissions = this.spreadCount;
     this.members.set(update.nodeId, { update, changedMs: nowMs, transmissions });
-    this.noteChange();
+    this.recordChange();
   }
 
-  private noteChange(): void {
-    this.view += 1;
-    this.workingNow = undefined;
+  private recordChange(): void {
+    this.currentVersion += 1;
+    this.cachedWorking = undefined;
   }
 
   private merge(update: MemberUpdate, nowMs: number): void {
@@ -350,49 +349,49 @@
     }
     const present = this.members.get(update.nodeId)?.update;
     if (!present) {
-      // The dead are news only to those who knew them alive.
+      // A dead member that was not known before is ignored.
       if (update.status !== MemberStatus.Dead) this.put(update, nowMs);
       return;
     }
-    if (isNews(update, present)) this.put(update, nowMs);
+    if (supersedes(update, present)) this.put(update, nowMs);
   }
 
-  /** Raises the own incarnation above a statement that is wrong or from an earlier life. */
+  /** Increases the own incarnation above an update that is wrong or from a previous incarnation. */
   private refute(update: MemberUpdate): void {
     if (update.incarnation < this.self.incarnation) return;
     if (update.incarnation === this.self.incarnation && update.status === this.self.status) return;
     this.self = { ...this.self, incarnation: update.incarnation + 1 };
-    this.workingNow = undefined;
+    this.cachedWorking = undefined;
   }
 
-  /** How often a node passes one piece of news on. */
+  /** Number of times that a node transmits one update. */
   get spreadCount(): number {
-    return Math.ceil(SPREAD_FACTOR * Math.log2(this.members.size + 2));
+    return Math.ceil(TRANSMISSION_FACTOR * Math.log2(this.members.size + 2));
   }
 
   private message(kind: GossipKind, sequence: number, subject: string): GossipMessage {
     return { kind, sender: this.self.nodeId, sequence, subject, updates: this.selectUpdates() };
   }
 
-  /** Own statement, the news least often passed on, then random members as a slow full exchange. */
+  /** Selects this node's status, the least transmitted updates, and random members. */
   private selectUpdates(): MemberUpdate[] {
     const selected: MemberUpdate[] = [this.self];
-    const news = [...this.members.values()]
+    const pending = [...this.members.values()]
       .filter((member) => member.transmissions > 0)
       .sort((left, right) => right.transmissions - left.transmissions)
       .slice(0, UPDATES_PER_DATAGRAM - 1);
-    for (const member of news) {
+    for (const member of pending) {
       member.transmissions -= 1;
       selected.push(member.update);
     }
-    const RANDOM_FILL = 2;
-    const room = Math.min(RANDOM_FILL, UPDATES_PER_DATAGRAM - selected.length);
+    const RANDOM_UPDATES = 2;
+    const room = Math.min(RANDOM_UPDATES, UPDATES_PER_DATAGRAM - selected.length);
     const known = new Set(selected.map((update) => update.nodeId));
     const fill = this.sample(room, this.self.nodeId).filter((update) => !known.has(update.nodeId));
     return [...selected, ...fill];
   }
 
-  /** Random members that are not dead, `except` one. */
+  /** Selects random members that are not dead, other than `except`. */
   private sample(count: number, except: string): MemberUpdate[] {
     if (count <= 0) return [];
     const candidates = [...this.members.values()]
@@ -409,12 +408,12 @@
   }
 }
 
-/** Whether a member may be given work. */
+/** Whether a member may receive work. */
 export function isWorking(update: MemberUpdate): boolean {
   return update.status === MemberStatus.Alive || update.status === MemberStatus.Suspect;
 }
 
-function isNews(update: MemberUpdate, present: MemberUpdate): boolean {
+function supersedes(update: MemberUpdate, present: MemberUpdate): boolean {
   if (update.incarnation !== present.incarnation) return update.incarnation > present.incarnation;
-  return GRAVITY[update.status] > GRAVITY[present.status];
+  return STATUS_PRECEDENCE[update.status] > STATUS_PRECEDENCE[present.status];
 }
--- a/src/state/prefix-directory.ts
+++ b/src/state/prefix-directory.ts
@@ -1,115 +1,114 @@
 /**
- * What a home router believes the engines keep of the prefixes it is home of.
+ * Estimates which engines have cached the prefixes of which this router is the home.
  *
- * A belief says that an engine incarnation keeps the prefix up to a mark. Beliefs are soft: a wrong
- * one costs recomputation, never a wrong answer, since the engine itself matches hashes. Memory is
- * bounded: the marks unused for longest are forgotten first.
+ * An estimate states that an engine incarnation has cached the prefix up to a mark. A wrong
+ * estimate costs recomputation but never a wrong response, since the engine itself compares the
+ * hashes. The number of marks is bounded; the least recently used ones are evicted first.
  */
 import { createBoundedCache } from './bounded-cache.js';
 
-/** Marks kept at most: 200,000 marks stand for 3.2 million blocks. */
 const MAXIMUM_MARKS = 200_000;
 
-/** How long a belief that was never confirmed by the engine's feed is held. */
-const ASSUMED_BELIEF_MS = 4_000;
+/** Lifetime of an estimate that the engine's feed has not confirmed. */
+const UNCONFIRMED_LIFETIME_MS = 4_000;
 
-/** Confidence in a mark that was only assumed, or that an engine with a broken feed reported. */
+/** Confidence in an unconfirmed estimate, or in one about an engine whose feed has a gap. */
 const LOW_CONFIDENCE = 0.6;
 
-interface Belief {
+interface Estimate {
   incarnation: number;
-  /** False while only this router's own dispatch speaks for it. */
-  heard: boolean;
-  sinceMs: number;
+  /** Whether the engine confirmed it; otherwise it is assumed from a dispatch of this router. */
+  isConfirmed: boolean;
+  recordedAtMs: number;
 }
 
-/** How much of a prompt an engine is believed to keep. */
+/** Estimated part of a prompt that an engine has cached. */
 export interface PrefixDepth {
-  /** Leading marks believed kept. */
+  /** Number of leading marks. */
   marks: number;
-  /** 1: all heard from the engine's feed. */
+  /** From 0 to 1; 1 if all marks are confirmed. */
   confidence: number;
 }
 
-/** One router's share of the directory. */
+/** The part of the directory at one router. */
 export class PrefixDirectory {
-  private readonly marks = createBoundedCache<bigint, Map<string, Belief>>(MAXIMUM_MARKS);
+  private readonly marks = createBoundedCache<bigint, Map<string, Estimate>>(MAXIMUM_MARKS);
   private readonly incarnations = new Map<string, number>();
-  private readonly doubted = new Set<string>();
+  private readonly unreliableEngines = new Set<string>();
 
-  /** Marks with at least one belief. */
+  /** Number of marks with at least one estimate. */
   get size(): number {
     return this.marks.size;
   }
 
-  /** Notes an engine's incarnation; beliefs about an earlier one count no more. */
+  /** Records an engine's incarnation; invalidates estimates about previous ones. */
   setIncarnation(engineId: string, incarnation: number): void {
     const present = this.incarnations.get(engineId) ?? 0;
     if (incarnation > present) this.incarnations.set(engineId, incarnation);
   }
 
-  /** Forgets an engine that left or died. */
+  /** Removes an engine that left or failed. */
   dropEngine(engineId: string): void {
     this.incarnations.delete(engineId);
-    this.doubted.delete(engineId);
+    this.unreliableEngines.delete(engineId);
   }
 
-  /** Lowers or restores the confidence in all beliefs about an engine (its feed has a gap). */
-  setDoubted(engineId: string, doubted: boolean): void {
-    if (doubted) this.doubted.add(engineId);
-    else this.doubted.delete(engineId);
+  /** Lowers the confidence in all estimates about an engine while its feed has a gap. */
+  setDoubted(engineId: string, hasGap: boolean): void {
+    if (hasGap) this.unreliableEngines.add(engineId);
+    else this.unreliableEngines.delete(engineId);
   }
 
-  /** The engine's feed says that it keeps the mark, or dropped it. */
+  /** Records that the engine's feed reported the mark as stored or removed. */
   hear(engineId: string, incarnation: number, mark: bigint, present: boolean, nowMs: number): void {
     this.setIncarnation(engineId, incarnation);
     if (incarnation !== this.incarnations.get(engineId)) return;
-    if (present) this.put(mark, engineId, { incarnation, heard: true, sinceMs: nowMs });
+    if (present) this.put(mark, engineId, { incarnation, isConfirmed: true, recordedAtMs: nowMs });
     else this.remove(mark, engineId);
   }
 
-  /** A prompt was sent to the engine, which will keep its marks for a while. */
+  /** Records that a prompt was sent to the engine, which is assumed to cache its marks. */
   assume(engineId: string, marks: readonly bigint[], nowMs: number): void {
     const incarnation = this.incarnations.get(engineId);
     if (incarnation === undefined) return;
     for (const mark of marks) {
       const present = this.marks.get(mark)?.get(engineId);
-      if (present?.heard && present.incarnation === incarnation) continue;
-      this.put(mark, engineId, { incarnation, heard: false, sinceMs: nowMs });
+      if (present?.isConfirmed && present.incarnation === incarnation) continue;
+      this.put(mark, engineId, { incarnation, isConfirmed: false, recordedAtMs: nowMs });
     }
   }
 
-  /** The engine has just computed the prompt, and so keeps all its marks now. */
+  /** Records that the engine computed the prompt, so that all its marks are cached. */
   confirm(engineId: string, incarnation: number, marks: readonly bigint[], nowMs: number): void {
     for (const mark of marks) this.hear(engineId, incarnation, mark, true, nowMs);
   }
 
-  /** An answer said how many marks were really kept: beliefs beyond those were wrong. */
-  correct(engineId: string, marks: readonly bigint[], keptMarks: number): void {
-    for (const mark of marks.slice(keptMarks)) this.remove(mark, engineId);
+  /** Removes the estimates beyond the number of marks that a response reported as cached. */
+  correct(engineId: string, marks: readonly bigint[], cachedMarks: number): void {
+    for (const mark of marks.slice(cachedMarks)) this.remove(mark, engineId);
   }
 
-  /** Believed depth of the prompt's chain for each engine that keeps any of it. */
+  /** Estimated depth of the prompt's chain for each engine that has cached a part of it. */
   depths(marks: readonly bigint[], nowMs: number): Map<string, PrefixDepth> {
     const depths = new Map<string, PrefixDepth>();
     for (const [index, mark] of marks.entries()) {
-      const beliefs = this.marks.get(mark);
-      if (!beliefs || !this.extendDepths(depths, beliefs, index, nowMs)) break;
+      const estimates = this.marks.get(mark);
+      if (!estimates || !this.extendDepths(depths, estimates, index, nowMs)) break;
     }
     return depths;
   }
 
-  /** Extends the engines that keep all marks before `index`; false where none does. */
+  /** Adds the mark at `index` to engines that have cached all before it; false if none has. */
   private extendDepths(
     depths: Map<string, PrefixDepth>,
-    beliefs: ReadonlyMap<string, Belief>,
+    estimates: ReadonlyMap<string, Estimate>,
     index: number,
     nowMs: number,
   ): boolean {
     let extended = false;
-    for (const [engineId, belief] of beliefs) {
-      if (!this.counts(engineId, belief, nowMs)) continue;
-      const confidence = this.confidence(engineId, belief);
+    for (const [engineId, estimate] of estimates) {
+      if (!this.isValid(engineId, estimate, nowMs)) continue;
+      const confidence = this.confidence(engineId, estimate);
       const depth = depths.get(engineId);
       if (index === 0) depths.set(engineId, { marks: 1, confidence });
       else if (depth?.marks === index) {
@@ -121,24 +120,24 @@
     return extended;
   }
 
-  private counts(engineId: string, belief: Belief, nowMs: number): boolean {
-    if (belief.incarnation !== this.incarnations.get(engineId)) return false;
-    return belief.heard || nowMs - belief.sinceMs < ASSUMED_BELIEF_MS;
+  private isValid(engineId: string, estimate: Estimate, nowMs: number): boolean {
+    if (estimate.incarnation !== this.incarnations.get(engineId)) return false;
+    return estimate.isConfirmed || nowMs - estimate.recordedAtMs < UNCONFIRMED_LIFETIME_MS;
   }
 
-  private confidence(engineId: string, belief: Belief): number {
-    return belief.heard && !this.doubted.has(engineId) ? 1 : LOW_CONFIDENCE;
+  private confidence(engineId: string, estimate: Estimate): number {
+    return estimate.isConfirmed && !this.unreliableEngines.has(engineId) ? 1 : LOW_CONFIDENCE;
   }
 
-  private put(mark: bigint, engineId: string, belief: Belief): void {
-    const beliefs = this.marks.get(mark);
-    if (beliefs) beliefs.set(engineId, belief);
-    else this.marks.set(mark, new Map([[engineId, belief]]));
+  private put(mark: bigint, engineId: string, estimate: Estimate): void {
+    const estimates = this.marks.get(mark);
+    if (estimates) estimates.set(engineId, estimate);
+    else this.marks.set(mark, new Map([[engineId, estimate]]));
   }
 
   private remove(mark: bigint, engineId: string): void {
-    const beliefs = this.marks.get(mark);
-    if (!beliefs?.delete(engineId)) return;
-    if (beliefs.size === 0) this.marks.delete(mark);
+    const estimates = this.marks.get(mark);
+    if (!estimates?.delete(engineId)) return;
+    if (estimates.size === 0) this.marks.delete(mark);
   }
 }
--- a/src/state/rendezvous-assignment.ts
+++ b/src/state/rendezvous-assignment.ts
@@ -1,6 +1,6 @@
 /**
- * Owners of keys by rendezvous, kept up to date: a candidate that comes costs one hash a key, one
- * that goes costs a full weighing of its own keys only.
+ * Incremental rendezvous hashing: adding a candidate costs one hash per key; removing one
+ * re-evaluates only its own keys.
  */
 import type { Hasher } from '../runtime/hasher.js';
 
@@ -9,43 +9,45 @@
   readonly weight: bigint;
 }
 
-/** Owners of the keys asked for so far. */
+/** Owners of all keys that were queried. */
 export class RendezvousAssignment<Key> {
   private candidates: readonly string[] = [];
   private readonly owners = new Map<Key, Owner>();
 
-  /** `seedOf` gives the hash of a key, under which candidates are weighed. */
+  /** @param seedOf returns the hash of a key, which seeds the weights of the candidates */
   constructor(
     private readonly hasher: Hasher,
     private readonly seedOf: (key: Key) => bigint,
   ) {}
 
-  /** Owner of a key; undefined without candidates. */
+  /** Owner of a key; undefined if there are no candidates. */
   ownerOf(key: Key): string | undefined {
     const present = this.owners.get(key);
     if (present) return present.candidate;
-    const best = this.best(this.seedOf(key), this.candidates, undefined);
+    const best = this.selectOwner(this.seedOf(key), this.candidates, undefined);
     if (best) this.owners.set(key, best);
     return best?.candidate;
   }
 
-  /** Forgets a key that is no longer of interest. */
+  /** Removes a key. */
   forget(key: Key): void {
     this.owners.delete(key);
   }
 
-  /** Takes over the candidates; answers the keys whose owner changed. */
+  /** Replaces the candidates; returns the keys whose owner changed. */
   setCandidates(candidates: readonly string[]): Key[] {
-    const before = new Set(this.candidates);
-    const now = new Set(candidates);
-    const added = candidates.filter((candidate) => !before.has(candidate));
+    const previous = new Set(this.candidates);
+    const remaining = new Set(candidates);
+    const added = candidates.filter((candidate) => !previous.has(candidate));
     this.candidates = candidates;
     const moved: Key[] = [];
     for (const [key, owner] of this.owners) {
-      const stays = now.has(owner.candidate);
+      const stays = remaining.has(owner.candidate);
       if (stays && added.length === 0) continue;
       const seed = this.seedOf(key);
-      const best = stays ? this.best(seed, added, owner) : this.best(seed, candidates, undefined);
+      const best = stays
+        ? this.selectOwner(seed, added, owner)
+        : this.selectOwner(seed, candidates, undefined);
       if (best === owner) continue;
       moved.push(key);
       if (best) this.owners.set(key, best);
@@ -54,13 +56,13 @@
     return moved;
   }
 
-  private best(
+  private selectOwner(
     seed: bigint,
-    rivals: readonly string[],
-    start: Owner | undefined,
+    candidates: readonly string[],
+    current: Owner | undefined,
   ): Owner | undefined {
-    let best = start;
-    for (const candidate of rivals) {
+    let best = current;
+    for (const candidate of candidates) {
       const weight = this.hasher.hashText(candidate, seed);
       const wins =
         !best || weight > best.weight || (weight === best.weight && candidate < best.candidate);
--- a/src/state/rendezvous.ts
+++ b/src/state/rendezvous.ts
@@ -1,7 +1,7 @@
-/** Rendezvous hashing: every node orders candidates for a key alike, without a table. */
+/** Rendezvous hashing: all nodes rank candidates in the same order without shared state. */
 import type { Hasher } from '../runtime/hasher.js';
 
-/** Candidates by descending weight for the key. A candidate leaving moves only its own keys. */
+/** Ranks candidates by descending weight. Removing a candidate moves only its own keys. */
 export function rankByRendezvous(
   hasher: Hasher,
   key: bigint,
@@ -18,7 +18,7 @@
   return weighted.map((entry) => entry.candidate);
 }
 
-/** The first of {@link rankByRendezvous}, in one pass. */
+/** Returns the first candidate of {@link rankByRendezvous}, without sorting. */
 export function pickByRendezvous(
   hasher: Hasher,
   key: bigint,
--- a/src/state/replicated-document.ts
+++ b/src/state/replicated-document.ts
@@ -1,18 +1,18 @@
 /**
- * A document that every node keeps a copy of, spread by digest and pull.
+ * A document that is replicated to every node: nodes announce revisions and pull deltas.
  *
- * It is a set of named sections. Each remembers a revision at or after its last change, so the
- * difference between any older revision and the present one is the sections changed since. A copy
- * never takes a revision at or below its own.
+ * The document is a set of named sections. Each has a revision at or after its last change, so that
+ * a delta from any older revision consists of the sections changed since. A copy never applies a
+ * delta to a revision at or below its own.
  */
 
-/** A section of a document. Removed sections stay as markers, so that a delta can carry them. */
+/** A section of a document. Removed sections remain as tombstones, which deltas include. */
 export interface DocumentSection {
   readonly name: string;
-  /** A revision not before the section's last change. */
+  /** A revision at or after the section's last change. */
   readonly changedAt: bigint;
   readonly removed: boolean;
-  /** The section's JSON text; empty where removed. */
+  /** The section's JSON text; empty if removed. */
   readonly content: string;
 }
 
@@ -23,38 +23,38 @@
   readonly sections: readonly DocumentSection[];
 }
 
-/** Why a delta was not taken. */
+/** Result of applying a delta. */
 export type DeltaVerdict = 'applied' | 'not-newer' | 'gap';
 
-/** One node's copy. */
+/** One node's copy of a document. */
 export class ReplicatedDocument {
   private currentRevision = 0n;
   private readonly sections = new Map<string, DocumentSection>();
 
-  /** `acceptsOlder` is for mutation tests only: it lets a copy fall back. */
+  /** @param acceptsOlder allows older revisions; for mutation tests only */
   constructor(private readonly acceptsOlder = false) {}
 
-  /** Revision of the copy; 0 before the first. */
+  /** Revision of the copy; 0 before the first delta. */
   get revision(): bigint {
     return this.currentRevision;
   }
 
   /** Names and contents of the sections that are not removed. */
   contents(): Map<string, string> {
-    const live = new Map<string, string>();
+    const contents = new Map<string, string>();
     for (const section of this.sections.values()) {
-      if (!section.removed) live.set(section.name, section.content);
+      if (!section.removed) contents.set(section.name, section.content);
     }
-    return live;
+    return contents;
   }
 
-  /** What a copy at `revision` lacks. */
+  /** The delta for a copy at `revision`. */
   deltaSince(revision: bigint): DocumentDelta {
     const changed = [...this.sections.values()].filter((section) => section.changedAt > revision);
     return { baseRevision: revision, revision: this.currentRevision, sections: changed };
   }
 
-  /** Takes a delta from a peer. A gap means that this copy is older than the delta's base. */
+  /** Applies a delta from a peer. Returns `gap` if this copy is older than the delta's base. */
   applyDelta(delta: DocumentDelta): DeltaVerdict {
     if (delta.revision === this.currentRevision) return 'not-newer';
     if (delta.revision < this.currentRevision && !this.acceptsOlder) return 'not-newer';
@@ -65,8 +65,8 @@
   }
 
   /**
-   * The delta that turns this copy into the whole new contents, for a reader of the source.
-   * Sections equal to the present ones keep their revision.
+   * The delta from this copy to the complete contents read from the source. Unchanged sections keep
+   * their revision.
    */
   deltaTo(revision: bigint, contents: ReadonlyMap<string, string>): DocumentDelta {
     const sections: DocumentSection[] = [];
--- a/src/state/request-ledger.ts
+++ b/src/state/request-ledger.ts
@@ -1,31 +1,31 @@
 /**
- * What is known of one request: which of its attempts may have run at a back end.
- * The only source of the statement "not run".
+ * Tracks the attempts of one request and which of them may have run at a back end.
+ * A response may state that a request did not run only according to this ledger.
  */
 
 /** Progress of a request. */
 export enum RequestState {
-  /** Checked, nothing sent. */
+  /** Validated; nothing was sent. */
   Accepted = 'accepted',
-  /** The right to dispatch is held, nothing sent. */
+  /** The claim was granted; no attempt is in progress. */
   Claimed = 'claimed',
-  /** Sent to a back end, nothing heard. */
+  /** Sent to a back end; no response yet. */
   Dispatched = 'dispatched',
-  /** A back end has begun to answer. */
+  /** A back end has begun to respond. */
   Answering = 'answering',
-  /** The whole answer is there. */
+  /** The response is complete. */
   Finished = 'finished',
-  /** Given up; `notRunProven` says whether anything may have run. */
+  /** Failed; `notRunProven` is false if an attempt may have run. */
   Failed = 'failed',
 }
 
-/** What happens to a request. */
+/** Events of a request. */
 export enum RequestEvent {
   Claim = 'claim',
   Dispatch = 'dispatch',
-  /** The back end proves that it did not run the attempt. */
+  /** The back end proved that it did not run the attempt. */
   RefuseNotRun = 'refuse-not-run',
-  /** The attempt was lost and may have run. */
+  /** The connection was lost; the attempt may have run. */
   Lose = 'lose',
   Answer = 'answer',
   Finish = 'finish',
@@ -35,9 +35,9 @@
 const { Accepted, Claimed, Dispatched, Answering, Finished, Failed } = RequestState;
 
 /**
- * Legal steps. A lost or refused attempt returns to `claimed`, since the claim outlives the attempt;
- * whether another dispatch is allowed then is the retry policy's matter. `answering` accepts
- * `dispatch` for a stream that continues on another engine. Terminal states accept nothing.
+ * Allowed transitions. A lost or rejected attempt returns to `claimed`, since the claim outlives
+ * the attempt; the retry policy decides whether another dispatch is allowed. `answering` accepts
+ * `dispatch` for a stream that continues on another engine. Terminal states accept no events.
  */
 const TRANSITIONS: Record<RequestState, Partial<Record<RequestEvent, RequestState>>> = {
   [Accepted]: {
@@ -46,7 +46,7 @@
     [RequestEvent.Finish]: Finished,
     [RequestEvent.Fail]: Failed,
   },
-  // A hedged attempt may be refused or lost after the other one was.
+  // Both attempts of a hedged request may be rejected or lost.
   [Claimed]: {
     [RequestEvent.Dispatch]: Dispatched,
     [RequestEvent.RefuseNotRun]: Claimed,
@@ -54,7 +54,7 @@
     [RequestEvent.Finish]: Finished,
     [RequestEvent.Fail]: Failed,
   },
-  // A second dispatch beside the first is a hedge.
+  // A second dispatch during the first is a hedge.
   [Dispatched]: {
     [RequestEvent.Dispatch]: Dispatched,
     [RequestEvent.RefuseNotRun]: Claimed,
@@ -75,26 +75,26 @@
   [Failed]: {},
 };
 
-/** The ledger of one request at one node. */
+/** Ledger of one request at one node. */
 export class RequestLedger {
   private current = RequestState.Accepted;
   private dispatches = 0;
   private provenNotRun = 0;
 
-  /** `earlierAttemptsUnproven`: another node may have dispatched this request before. */
+  /** @param earlierAttemptsUnproven whether another node may have dispatched this request before */
   constructor(private earlierAttemptsUnproven: boolean) {}
 
-  /** It is proven by now that no other node's attempt has run or can still run. */
+  /** Records proof that no other node's attempt has run or can still run. */
   proveEarlierNotRun(): void {
     this.earlierAttemptsUnproven = false;
   }
 
-  /** Another node may run the request after all. */
+  /** Records that an attempt of another node may have run or may still run. */
   doubtEarlier(): void {
     this.earlierAttemptsUnproven = true;
   }
 
-  /** A back end proved that no attempt, here or elsewhere, has run or can still run. */
+  /** Records a back end's proof that no attempt of any node has run or can still run. */
   proveFencedNotRun(): void {
     this.earlierAttemptsUnproven = false;
     this.provenNotRun = this.dispatches;
@@ -104,25 +104,26 @@
     return this.current;
   }
 
-  /** Attempts sent to back ends by this node. */
+  /** Number of attempts that this node sent to back ends. */
   get attempts(): number {
     return this.dispatches;
   }
 
-  /** True once no further event is legal. */
+  /** Whether the state is terminal. */
   get isSettled(): boolean {
     return this.current === Finished || this.current === Failed;
   }
 
-  /** True only where no attempt, here or elsewhere, can have run. */
+  /** Whether it is proven that no attempt of any node has run. */
   get notRunProven(): boolean {
     return !this.earlierAttemptsUnproven && this.dispatches === this.provenNotRun;
   }
 
-  /** Takes a step; an illegal one is a programming error. */
+  /** Applies an event; throws if the state does not allow it. */
   apply(event: RequestEvent): void {
     const next = TRANSITIONS[this.current][event];
-    if (next === undefined) throw new Error(`request event ${event} in state ${this.current}`);
+    if (next === undefined)
+      throw new Error(`request event ${event} is not allowed in state ${this.current}`);
     if (event === RequestEvent.Dispatch) this.dispatches += 1;
     if (event === RequestEvent.RefuseNotRun) this.provenNotRun += 1;
     this.current = next;
--- a/src/state/retry-budget.ts
+++ b/src/state/retry-budget.ts
@@ -1,18 +1,18 @@
-/** A token bucket that ties retries to the number of requests, so that they can't multiply. */
+/** Token buckets that limit retries to a share of the requests, to prevent retry storms. */
 
-/** Retries that may be saved up. */
+/** Capacity of the bucket. */
 const MAXIMUM_SAVED_RETRIES = 10;
 
-/** The retry budget of one tenant at one router. */
+/** Retry budget of one tenant at one router. */
 export class RetryBudget {
   private tokens = MAXIMUM_SAVED_RETRIES / 2;
 
-  /** Each request earns its share of a retry. */
+  /** Adds the retry share of one request. */
   earn(retryShare: number): void {
     this.tokens = Math.min(MAXIMUM_SAVED_RETRIES, this.tokens + retryShare);
   }
 
-  /** Takes one retry; false where none is left. */
+  /** Takes one retry; returns false if there is none left. */
   trySpend(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
@@ -20,7 +20,7 @@
   }
 }
 
-/** The budgets of all tenants at one router, made when first asked for. */
+/** Retry budgets of all tenants at one router, created on first use. */
 export class RetryBudgets {
   private readonly budgets = new Map<string, RetryBudget>();
 
--- a/src/state/rumor-queue.ts
+++ b/src/state/rumor-queue.ts
@@ -1,30 +1,29 @@
-/** News that a node passes on a limited number of times, the least often told first. */
+/** Queue of announcements, each sent a limited number of times, the least sent ones first. */
 
-interface Rumor<Value> {
+interface QueuedAnnouncement<Value> {
   value: Value;
-  /** Transmissions left. */
-  left: number;
+  transmissionsLeft: number;
 }
 
-/** Rumors by key; a newer one replaces the older. */
+/** Queued announcements by key; a newer one replaces an older one. */
 export class RumorQueue<Key, Value> {
-  private readonly rumors = new Map<Key, Rumor<Value>>();
+  private readonly announcements = new Map<Key, QueuedAnnouncement<Value>>();
 
-  /** Passes the value on that many times. */
+  /** Queues a value for the given number of transmissions. */
   put(key: Key, value: Value, transmissions: number): void {
-    this.rumors.set(key, { value, left: transmissions });
+    this.announcements.set(key, { value, transmissionsLeft: transmissions });
   }
 
-  /** The rumors for one message, at most `limit`; each counts as told once. */
+  /** Returns at most `limit` announcements for one message and counts one transmission of each. */
   take(limit: number): Value[] {
-    if (this.rumors.size === 0) return [];
-    const chosen = [...this.rumors]
-      .sort(([, one], [, other]) => other.left - one.left)
+    if (this.announcements.size === 0) return [];
+    const chosen = [...this.announcements]
+      .sort(([, one], [, other]) => other.transmissionsLeft - one.transmissionsLeft)
       .slice(0, limit);
-    for (const [key, rumor] of chosen) {
-      rumor.left -= 1;
-      if (rumor.left <= 0) this.rumors.delete(key);
+    for (const [key, announcement] of chosen) {
+      announcement.transmissionsLeft -= 1;
+      if (announcement.transmissionsLeft <= 0) this.announcements.delete(key);
     }
-    return chosen.map(([, rumor]) => rumor.value);
+    return chosen.map(([, announcement]) => announcement.value);
   }
 }
--- a/src/state/site-shares.ts
+++ b/src/state/site-shares.ts
@@ -1,19 +1,19 @@
-/** Keeps a tenant's work at each site near the share its template wants. */
+/** Distributes a tenant's requests over sites according to the shares of its template. */
 
-/** Span over which shares are met. */
+/** Time constant of the decay by which older requests count less. */
 export const SHARE_WINDOW_MS = 30_000;
 
-/** Tokens of work by which a site may run ahead of its share before it is closed for the tenant. */
+/** Requests, and share of all requests, by which a site may exceed its share. */
 const SLACK_REQUESTS = 2;
 const SLACK_SHARE = 0.015;
 
-/** Work of one tenant by site, with older work counting less. */
+/** Exponentially decaying request counts of one tenant by site. */
 export class SiteShares {
   private readonly sent = new Map<string, number>();
   private total = 0;
-  private updatedMs = 0;
+  private updatedAtMs = 0;
 
-  /** Sites that may take the next request: those not ahead of their share. */
+  /** Sites to which the next request may be sent: those that do not exceed their share. */
   openSites(shares: Readonly<Record<string, number>>, nowMs: number): Set<string> {
     this.decay(nowMs);
     const open = new Set<string>();
@@ -26,14 +26,14 @@
     return open;
   }
 
-  /** Notes a request sent to a site. */
+  /** Records a request sent to a site. */
   record(site: string, nowMs: number): void {
     this.decay(nowMs);
     this.sent.set(site, (this.sent.get(site) ?? 0) + 1);
     this.total += 1;
   }
 
-  /** Share of recent work at each site, for status pages. */
+  /** Share of recent requests at each site, for status pages. */
   met(nowMs: number): Map<string, number> {
     this.decay(nowMs);
     const shares = new Map<string, number>();
@@ -42,8 +42,8 @@
   }
 
   private decay(nowMs: number): void {
-    const factor = Math.exp(-(nowMs - this.updatedMs) / SHARE_WINDOW_MS);
-    this.updatedMs = nowMs;
+    const factor = Math.exp(-(nowMs - this.updatedAtMs) / SHARE_WINDOW_MS);
+    this.updatedAtMs = nowMs;
     this.total *= factor;
     for (const [site, count] of this.sent) this.sent.set(site, count * factor);
   }
--- a/src/state/template-sections.ts
+++ b/src/state/template-sections.ts
@@ -1,9 +1,9 @@
-/** Splits a configuration into document sections, one an entry, and joins them again. */
+/** Splits a configuration into document sections, one for each entry, and joins them again. */
 import type { TemplateSet } from './template-set.js';
 
 const SECTION_KINDS = ['models', 'services', 'templates', 'tenants'] as const;
 
-/** One section for each model, service, template and tenant, named `kind/name`. */
+/** Returns one section for each model, service, template and tenant, named `kind/name`. */
 export function splitTemplateSet(set: TemplateSet): Map<string, string> {
   const sections = new Map<string, string>();
   for (const kind of SECTION_KINDS) {
@@ -14,7 +14,7 @@
   return sections;
 }
 
-/** The plain object of a configuration; the caller checks it. */
+/** Returns the configuration as an unvalidated object. */
 export function joinTemplateSet(sections: ReadonlyMap<string, string>): unknown {
   const set: Record<(typeof SECTION_KINDS)[number], Record<string, unknown>> = {
     models: {},
--- a/src/state/template-set.ts
+++ b/src/state/template-set.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration operators edit: models, services, routing templates and tenants.
+ * The operators' configuration: models, services, routing templates and tenants.
  * Schema of the YAML files (docs/OPERATORS.md, "Templates") and of the stored object.
  */
 import { z } from 'zod';
@@ -12,9 +12,9 @@
 
 /** One version of a model's weights. */
 const modelVersionSchema = z.strictObject({
-  /** Digest of the weights; kept cache is bound to it. */
+  /** Digest of the weights; cached prefixes are valid only for it. */
   weights_digest: z.string().min(1),
-  /** Digest of the adapter on top of them. */
+  /** Digest of the adapter; empty if there is none. */
   adapter_digest: z.string().default(''),
 });
 
@@ -25,48 +25,48 @@
 
 /** One operation of a plain service. */
 const operationSchema = z.strictObject({
-  /** True: may run more than once, so it may be retried and hedged. */
+  /** Whether the operation may run more than once, so that it may be retried and hedged. */
   repeatable: z.boolean(),
-  /** Send a second attempt where the first is slow. Only for repeatable operations. */
+  /** Whether to send a second attempt if the first is slow. Only for repeatable operations. */
   hedged: z.boolean().default(false),
 });
 
-/** A plain service: lookups and writes. */
+/** A service of plain back ends. */
 const serviceSchema = z.strictObject({
   operations: z.record(name, operationSchema),
 });
 
 /** Parameters that a template sets and a tenant may override. */
 const parametersSchema = z.strictObject({
-  /** Models the tenant may use, each with the version in force. */
+  /** Models that the tenant may use, each with its current version. */
   models: z.record(name, name),
-  /** Plain services the tenant may call. */
+  /** Services that the tenant may call. */
   services: z.array(name),
-  /** Tokens of kept prefix the tenant may lean on over all engines. */
+  /** Maximum cached prefix tokens of the tenant over all engines. */
   prefix_budget_tokens: z.number().int().min(0),
-  /** Share of the tenant's work for each site; sums to 1. */
+  /** Share of the tenant's requests for each site; the sum is 1. */
   site_shares: z.record(name, share),
-  /** Higher goes first at engines. */
+  /** Engines run requests of higher priority first. */
   priority: z.number().int().min(-10).max(10),
-  /** 0: only the wait for the first token counts; 1: only recomputation counts. */
+  /** From 0 (minimizes the wait for the first token) to 1 (minimizes recomputation). */
   recompute_weight: share,
-  /** Requests of the tenant that may run at once through one router. */
+  /** Maximum concurrent requests of the tenant at one router. */
   maximum_concurrent: z.number().int().min(1),
-  /** Retries allowed as a share of requests. */
+  /** Maximum retries as a share of requests. */
   retry_share: share,
 });
 
 /** A named set of parameters. */
 const templateSchema = parametersSchema;
 
-/** A caller's key, kept only as a hash. */
+/** A caller's key, stored only as a hash. */
 const keySchema = z.strictObject({
   sha256: z.string().regex(SHA256_PATTERN, 'expected 64 hexadecimal digits'),
 });
 
 const MAXIMUM_KEYS = 2;
 
-/** A tenant: its template, its keys (two while one replaces the other) and its overrides. */
+/** A tenant: its template, keys (two during a key rotation) and overrides. */
 const tenantSchema = z.strictObject({
   template: name,
   keys: z.array(keySchema).min(1).max(MAXIMUM_KEYS),
@@ -86,21 +86,21 @@
 export type ModelVersion = z.infer<typeof modelVersionSchema>;
 export type OperationPolicy = z.infer<typeof operationSchema>;
 
-/** A fault in a configuration: where, and what was expected. */
+/** An error in a configuration: its path and a message. */
 export interface TemplateProblem {
-  /** Path in the document, parts joined by dots. */
+  /** Path in the document, separated by dots. */
   readonly path: string;
   readonly message: string;
 }
 
-/** A checked configuration, or all its faults. */
+/** A valid configuration, or all errors of an invalid one. */
 export type TemplateVerdict =
   | { readonly kind: 'valid'; readonly set: TemplateSet }
   | { readonly kind: 'invalid'; readonly problems: readonly TemplateProblem[] };
 
 const SHARE_TOLERANCE = 0.001;
 
-/** Checks shape and references of a configuration. */
+/** Validates the schema and the references of a configuration. */
 export function checkTemplateSet(value: unknown): TemplateVerdict {
   const parsed = templateSetSchema.safeParse(value);
   if (!parsed.success) {
@@ -134,12 +134,12 @@
   return problems;
 }
 
-type GivenParameters = TemplateSet['tenants'][string]['parameters'];
+type PartialParameters = TemplateSet['tenants'][string]['parameters'];
 
 function checkParameters(
   set: TemplateSet,
   path: string,
-  parameters: GivenParameters,
+  parameters: PartialParameters,
 ): TemplateProblem[] {
   const problems: TemplateProblem[] = [];
   for (const [modelName, version] of Object.entries(parameters.models ?? {})) {
@@ -163,23 +163,23 @@
 
 function checkSharedKeys(set: TemplateSet): TemplateProblem[] {
   const problems: TemplateProblem[] = [];
-  const holders = new Map<string, string>();
+  const tenantsByKey = new Map<string, string>();
   for (const [tenantName, tenant] of Object.entries(set.tenants)) {
     for (const key of tenant.keys) {
-      const holder = holders.get(key.sha256);
-      if (holder !== undefined && holder !== tenantName) {
+      const otherTenant = tenantsByKey.get(key.sha256);
+      if (otherTenant !== undefined && otherTenant !== tenantName) {
         problems.push({
           path: `tenants.${tenantName}.keys`,
-          message: `key belongs to tenant "${holder}" too`,
+          message: `key belongs to tenant "${otherTenant}" too`,
         });
       }
-      holders.set(key.sha256, tenantName);
+      tenantsByKey.set(key.sha256, tenantName);
     }
   }
   return problems;
 }
 
-/** Parameters in force for a tenant: its template's, overridden by its own. */
+/** Effective parameters of a tenant: those of its template with the tenant's overrides. */
 export function resolveParameters(set: TemplateSet, tenant: string): TenantParameters | undefined {
   const entry = set.tenants[tenant];
   const template = entry && set.templates[entry.template];
--- a/src/state/total-capacity.ts
+++ b/src/state/total-capacity.ts
@@ -1,6 +1,6 @@
-/** Sum of what members can do. */
+/** Total capacity of members. */
 
-/** @param members each with its share of a processor core, in thousandths */
+/** @param members with their capacity in thousandths of a processor core */
 export function totalCapacity(members: readonly { readonly capacity: number }[]): number {
   return members.reduce((sum, { capacity }) => sum + capacity, 0);
 }
