--- a/test/engine-table.test.ts
+++ b/test/engine-table.test.ts
@@ -13,9 +13,8 @@
 };
 const machine = { engineId: 'engine-1', address: '', zone: 'z', site: 's', leaving: false };
 
-// Found by the fuzz: a report of an engine not yet listed was news each time, and routers that had
-// lost the machine list told each other without end.
-test('a report that came before the machine list is news only once', (t) => {
+// Guards against routers without a machine list announcing the same report to each other forever.
+test('a report received before the machine list is accepted only once', (t) => {
   const table = new EngineTable();
   t.true(table.putReport(report));
   t.false(table.putReport(report));
@@ -24,7 +23,7 @@
   t.is(table.get('engine-1')?.report, report);
 });
 
-test('a late report of an earlier incarnation is dropped', (t) => {
+test('a delayed report or one of a previous incarnation is ignored', (t) => {
   const table = new EngineTable();
   table.replaceMachines([machine]);
   table.putReport(report);
--- a/test/prefix-chain.test.ts
+++ b/test/prefix-chain.test.ts
@@ -12,7 +12,7 @@
 const scope = { tenant: 'a', model: 'm', weightsDigest: 'w1', adapterDigest: '' };
 const prompt = Buffer.alloc(BLOCK_BYTES * MARK_BLOCKS * 3, 'beginning of a long prompt ');
 
-test('chains of other tenants, weights or adapters share no block', async (t) => {
+test('chains of different tenants, models, weights or adapters share no block', async (t) => {
   const hasher = await createHasher();
   const scopes = [
     scope,
--- a/test/rendezvous.test.ts
+++ b/test/rendezvous.test.ts
@@ -10,7 +10,7 @@
 const KEYS = Array.from({ length: 40 }, (_, index) => BigInt(index) * 0x9e3779b97f4a7c15n);
 
 testProp(
-  'an assignment kept up to date equals one made anew, and names every key that moved',
+  'an incremental assignment equals a full one and returns every key whose owner changed',
   [candidateSets],
   async (t, sets) => {
     const hasher = await createHasher();
--- a/test/template-store.test.ts
+++ b/test/template-store.test.ts
@@ -1,4 +1,4 @@
-/** Operators' writes against a store that loses answers and against each other. */
+/** Guards against lost or misreported configuration writes after lost responses and conflicts. */
 import test from 'ava';
 import { differencesBetween } from '../src/operator/template-difference.js';
 import { TemplateStore } from '../src/operator/template-store.js';
@@ -9,7 +9,7 @@
 import { VirtualClock } from '../src/runtime/virtual-clock.js';
 import { worldTemplates } from '../src/lab/simulation/world-settings.js';
 
-/** A port straight to a store; `lose` answers are lost before or after the write takes effect. */
+/** A port to a store; with `lose`, responses are lost before or after the write takes effect. */
 function portOf(store: ObjectStore, lose: 'none' | 'before' | 'after'): ObjectApiPort {
   const lost = new ProtocolFailure({ kind: 'interrupted', address: 'store', reason: 'lost' });
   return {
@@ -26,7 +26,7 @@
   };
 }
 
-test('a write whose answer was lost after the change is found by reading back', async (t) => {
+test('a write that took effect without a response is confirmed by reading it back', async (t) => {
   const clock = new VirtualClock();
   const store = new TemplateStore(portOf(new ObjectStore(clock), 'after'), clock);
   t.deepEqual(await store.write(worldTemplates('v1', 0), 0, 'operation-1'), {
@@ -35,7 +35,7 @@
   });
 });
 
-test('a write that never arrived is called uncertain, not done', async (t) => {
+test('a write that never reached the store is reported as uncertain', async (t) => {
   const clock = new VirtualClock();
   const store = new TemplateStore(portOf(new ObjectStore(clock), 'before'), clock);
   const writing = store.write(worldTemplates('v1', 0), 0, 'operation-1');
@@ -43,7 +43,7 @@
   t.is((await writing).kind, 'uncertain');
 });
 
-test('of two operators who race, one gets a conflict with the other side', async (t) => {
+test('of two concurrent writes, one gets a conflict with the version of the other', async (t) => {
   const clock = new VirtualClock();
   const objects = new ObjectStore(clock);
   const store = new TemplateStore(portOf(objects, 'none'), clock);
@@ -60,7 +60,7 @@
   );
 });
 
-test('a parameter is set for one tenant, and a bad one names its path', (t) => {
+test('a parameter is set for one tenant, and an invalid value is reported with its path', (t) => {
   const set = worldTemplates('v1', 0);
   const verdict = setTenantParameter(set, 'tenant-a', 'priority=5');
   t.is(verdict.kind === 'valid' ? verdict.set.tenants['tenant-a']?.parameters.priority : 0, 5);
