--- a/src/protocol/inference/port.ts
+++ b/src/protocol/inference/port.ts
@@ -189,7 +189,8 @@
   ): Exchange;
   /** Opens a connection to the engine's address, without sending a request. */
   checkListener(endpoint: EngineEndpoint): Promise<ListenerState>;
-  order(endpoint: EngineEndpoint, order: WeightOrder): Promise<OrderResult>;
+  /** Sends a load command; resolves also if the engine does not respond. */
+  order(endpoint: EngineEndpoint, command: WeightOrder): Promise<OrderResult>;
   /** Returns undefined if the engine does not respond. */
   weightState(endpoint: EngineEndpoint, model: string): Promise<WeightState | undefined>;
   /** Waits up to `waitMs` for events. Rejects with a `ProtocolFailure`. */
