--- a/src/state/engine-choice.ts
+++ b/src/state/engine-choice.ts
@@ -145,9 +145,9 @@
   return Math.min(depth.marks * MARK_TOKENS * depth.confidence, request.promptTokens);
 }
 
-function costOf(record: EngineRecord, request: ChoiceRequest, keptTokens: number): number {
+function costOf(record: EngineRecord, request: ChoiceRequest, cachedTokens: number): number {
   const networkMs = record.machine.zone === request.zone ? 0 : CROSS_ZONE_LATENCY_MS;
-  const recomputeMs = (request.promptTokens - keptTokens) * record.tokenMs;
+  const recomputeMs = (request.promptTokens - cachedTokens) * record.tokenMs;
   return record.waitMs + networkMs + recomputeMs * recomputeFactorOf(request);
 }
 
