--- a/bench/deployment.ts
+++ b/bench/deployment.ts
@@ -1,4 +1,4 @@
-/** A small deployment for the bench: the router is a process of its own, the rest runs here. */
+/** A small deployment for the bench, with the router in a separate process. */
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
@@ -11,20 +11,20 @@
 import { readMetric } from '../src/telemetry/read-metric.js';
 import { Program, waitUntilOk } from '../test/helpers/processes.js';
 
-const ANY = '127.0.0.1:0';
-const DEADLINE_MS = 60_000;
-const FAST_PREFILL = 10_000_000;
+const ANY_ADDRESS = '127.0.0.1:0';
+const DEFAULT_DEADLINE_MS = 60_000;
+const FAST_PREFILL_TOKENS_PER_SECOND = 10_000_000;
 
 /** A running bench deployment. */
 export interface BenchDeployment {
   readonly agentAddress: string;
   readonly engineAddress: string;
-  /** Reads one figure of the router's metrics page. */
+  /** Reads one of the router's metrics. */
   routerMetric(name: string): Promise<number>;
   stop(): Promise<void>;
 }
 
-/** Starts platform, engine, agent and one router process. */
+/** Starts the platform, an engine and an agent in this process, and one router process. */
 export async function startBenchDeployment(behaviour: EngineBehaviour): Promise<BenchDeployment> {
   const identity = {
     engineId: 'engine-1',
@@ -33,16 +33,16 @@
     adapterDigest: '',
   };
   const settings = engineSettingsOf(identity, {
-    prefill_tokens_per_second: FAST_PREFILL,
+    prefill_tokens_per_second: FAST_PREFILL_TOKENS_PER_SECOND,
     ...behaviour,
   });
-  const engine = await startEngine(settings, ANY);
+  const engine = await startEngine(settings, ANY_ADDRESS);
   const templates = worldTemplates('v1', 0);
   if (templates.templates.standard) templates.templates.standard.site_shares = { old: 1 };
   const { address } = engine.server;
-  const place = { zone: 'zone-a', site: 'old' };
-  const platform = await startPlatform(ANY, 0, templates, [
-    { id: 'engine-1', kind: 'engine', address, ...place, services: [], leaving: false },
+  const location = { zone: 'zone-a', site: 'old' };
+  const platform = await startPlatform(ANY_ADDRESS, 0, templates, [
+    { id: 'engine-1', kind: 'engine', address, ...location, services: [], leaving: false },
   ]);
   const router = startRouterProcess(platform.server.address);
   const operations = await router.field('operations_started', 'address');
@@ -50,9 +50,9 @@
   const agent = await startAgent(
     {
       node: { id: 'agent-1', zone: 'zone-a', region: 'region' },
-      listen: { callers: ANY, operations: ANY },
+      listen: { callers: ANY_ADDRESS, operations: ANY_ADDRESS },
       routers: [await router.field('router_started', 'peer')],
-      default_deadline_ms: DEADLINE_MS,
+      default_deadline_ms: DEFAULT_DEADLINE_MS,
       log_level: 'silent',
     },
     new SilentLogger(),
@@ -79,7 +79,7 @@
     file,
     stringify({
       node: { id: 'router-1', zone: 'zone-a', region: 'region' },
-      listen: { peer: ANY, gossip: ANY, operations: ANY },
+      listen: { peer: ANY_ADDRESS, gossip: ANY_ADDRESS, operations: ANY_ADDRESS },
       platform: { object_api: platformAddress, machine_list: platformAddress },
       cluster_key: 'a-cluster-key-for-the-bench',
     }),
--- a/bench/group-deployment.ts
+++ b/bench/group-deployment.ts
@@ -1,7 +1,7 @@
 /**
- * A whole deployment of a given size in this process: routers as they run in production before simulated
- * engines, one simulated store and a simulated network. Its clock is virtual, so what it spends is
- * processor time alone.
+ * A complete deployment of a given size in this process: production routers with simulated engines,
+ * a simulated store and a simulated network. The clock is virtual, so a run takes processor time
+ * only.
  */
 import type { Hasher } from '../src/runtime/hasher.js';
 import { GatewayNode } from '../src/coordination/gateway/gateway-node.js';
@@ -33,19 +33,19 @@
 import { VirtualClock } from '../src/runtime/virtual-clock.js';
 import { countingDatagrams } from '../test/helpers/counting-datagrams.js';
 
-/** Engines for each router, as in the larger deployments of docs/CAPACITY.md. */
+/** Engines per router, as in the larger deployments of docs/CAPACITY.md. */
 const ENGINES_PER_ROUTER = 0.8;
 const ZONES = 6;
-/** The most capable routers of a deployment have several times the share of the least capable ones. */
+/** Capacities assigned to the routers in rotation. */
 const CAPACITIES = [250, 500, 1_000];
-/** How the routers of a deployment follow its store. */
+/** How the routers are organised to watch the store. */
 const RELAY = { directGroupSize: 12, routersPerReader: 80, minimumReaders: 2 };
 const START_SPREAD_MS = 300;
-const JOINED_MS = 6_000;
+const GROUP_JOIN_MS = 6_000;
 const TENANT = 'tenant-2';
 const SEED = 11;
 
-/** The deployment. */
+/** A simulated deployment whose processor time can be profiled. */
 export class GroupDeployment {
   readonly clock = new VirtualClock();
   readonly store: SimulatedObjectStore;
@@ -65,7 +65,7 @@
     this.fleet = new SimulatedFleet(this.clock, this.store, () => undefined);
   }
 
-  /** Starts all parts and waits until the routers have joined their group. */
+  /** Starts all components and waits until the routers have joined their group. */
   static async start(routers: number, hasher: Hasher): Promise<GroupDeployment> {
     const deployment = new GroupDeployment(hasher);
     deployment.configure();
@@ -75,30 +75,30 @@
       await deployment.startRouter(index);
       await deployment.clock.advance(Math.max(1, Math.floor(START_SPREAD_MS / routers)));
     }
-    await deployment.clock.advance(JOINED_MS);
+    await deployment.clock.advance(GROUP_JOIN_MS);
     return deployment;
   }
 
-  /** Datagrams that routers have sent each other. */
+  /** Number of datagrams that the routers have sent to each other. */
   get sentDatagrams(): number {
     return this.datagrams;
   }
 
-  /** Lets callers send for a while, evenly spread over the routers and the time. */
-  async play(forMs: number, requestsPerSecond: number): Promise<void> {
+  /** Sends requests at an even rate to routers chosen at random, for a period of virtual time. */
+  async sendTraffic(durationMs: number, requestsPerSecond: number): Promise<void> {
     if (requestsPerSecond === 0) {
-      await this.clock.advance(forMs);
+      await this.clock.advance(durationMs);
       return;
     }
     const gapMs = 1_000 / requestsPerSecond;
-    const untilMs = this.clock.now() + forMs;
-    while (this.clock.now() < untilMs) {
-      this.sendOne();
-      await this.clock.advance(Math.min(gapMs, untilMs - this.clock.now()));
+    const endMs = this.clock.now() + durationMs;
+    while (this.clock.now() < endMs) {
+      this.sendRequest();
+      await this.clock.advance(Math.min(gapMs, endMs - this.clock.now()));
     }
   }
 
-  /** An engine crashes under all it runs, and comes back as another incarnation. */
+  /** Crashes an engine with all its requests and restarts it as a new incarnation. */
   crashEngine(index: number): void {
     const engine = this.fleet.engine(index);
     if (engine.isRunning) engine.crashAndRestart();
@@ -108,7 +108,7 @@
     for (const node of this.nodes) node.stop();
   }
 
-  private sendOne(): void {
+  private sendRequest(): void {
     const node = this.nodes[Math.floor(this.random.next() * this.nodes.length)];
     const key = KEYS.get(TENANT)?.[0];
     if (!node || key === undefined) return;
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: the figures of docs/CAPACITY.md, as ratios and costs of one run. */
+/** `npm run bench`: measures the costs that docs/CAPACITY.md lists and writes `out/bench.json`. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { benchPlacement } from './placement.js';
 import { benchChunks, benchFirstToken } from './relay.js';
--- a/bench/mechanism-profile.ts
+++ b/bench/mechanism-profile.ts
@@ -1,14 +1,17 @@
-/** Splits the processor time of this process by the router's mechanisms, with the engine's own profiler. */
+/** Splits the processor time of this process by router mechanism, using the V8 profiler. */
 import type { Profiler, Runtime } from 'node:inspector';
 import { Session } from 'node:inspector/promises';
 
-/** A mechanism and the modules that belong to it; the first that matches counts. */
+/** Mechanisms and their modules; the first match applies. */
 const MECHANISMS: readonly (readonly [name: string, modules: RegExp])[] = [
   ['simulation', /\/(lab|bench|test)\/|virtual-clock/],
   ['crash notices', /crash-|quarantine|request-fingerprint|engine-crashes/],
   ['work collection', /load-collection|collected-loads|collector-choice/],
   ['quotas', /\/quota\//],
-  ['weights and lease', /weight-|order-|lease|version-news|rollout/],
+  [
+    'weights and lease',
+    /weight-(?!load-announcements)|load-command|coordinator-succession|lease|rollout/,
+  ],
   [
     'store and relays',
     /store-|object-follower|\/store-relay\/|object-decoder|configuration|engine-list/,
@@ -16,15 +19,15 @@
   ['feeds', /cache-feeds|followed-feeds|feed-share/],
   [
     'placement',
-    /placement|home-ranking|kept-prefixes|save-choice|finish-estimate|prompt-source|engine-health|engine-registry|return-schedule|traffic-split/,
+    /placement|home-ranking|cached-prefixes|save-choice|finish-estimate|prompt-source|engine-health|engine-registry|return-schedule|traffic-split/,
   ],
   [
     'forwarding',
-    /request-call|\/send\.|call-|load-share|request-admission|rejection|retry-budget|event-boundary|gateway\/load/,
+    /request-call|\/send\.|call-|send-timeouts|load-share|request-admission|rejection|retry-budget|event-boundary|gateway\/load/,
   ],
   [
     'reports',
-    /group-reports|group-heartbeats|heartbeats|weights-news|work-codec|member-key|load-table/,
+    /group-reports|group-heartbeats|heartbeats|weight-load-announcements|work-codec|member-key|load-table/,
   ],
   ['datagram codec', /cluster-codec|member-codec/],
   ['gossip', /\/membership\.|group-membership|group-change-log/],
@@ -32,7 +35,7 @@
   ['other', /\/src\//],
 ];
 
-/** Functions that build a list of the members, whoever asks. */
+/** Functions that build a list of members; counted together, regardless of the caller. */
 const MEMBER_LISTS = new Set([
   'all',
   'working',
@@ -48,12 +51,12 @@
 const MICROSECONDS_PER_MS = 1_000;
 const SAMPLE_MICROSECONDS = 250;
 
-/** Time of each mechanism, in milliseconds. */
+/** Processor time per mechanism, in milliseconds. */
 export type MechanismTimes = ReadonlyMap<string, number>;
 
 /**
- * Runs an action under the profiler. The profiler's samples are spread over time as it passes; they are
- * scaled to the processor time of the process, so that other processes of the machine change little.
+ * Runs an action under the profiler. The samples cover elapsed time; they are scaled to the
+ * processor time of this process, which reduces the influence of other processes on the machine.
  */
 export async function profileMechanisms(action: () => Promise<void>): Promise<MechanismTimes> {
   const session = new Session();
@@ -66,7 +69,7 @@
   const { user, system } = process.cpuUsage(cpuBefore);
   const { profile } = await session.post('Profiler.stop');
   session.disconnect();
-  return scaled(sumByMechanism(profile), (user + system) / MICROSECONDS_PER_MS);
+  return scaleTo(sumByMechanism(profile), (user + system) / MICROSECONDS_PER_MS);
 }
 
 function sumByMechanism(profile: Profiler.Profile): MechanismTimes {
@@ -77,12 +80,12 @@
   }
   const mechanisms = new Map<number, string>();
   const mechanismOf = (id: number): string => {
-    const known = mechanisms.get(id);
-    if (known !== undefined) return known;
+    const cached = mechanisms.get(id);
+    if (cached !== undefined) return cached;
     const node = byId.get(id);
-    const own = node && mechanismOfFrame(node.callFrame);
+    const ownMechanism = node && mechanismOfFrame(node.callFrame);
     const parent = parents.get(id);
-    const found = own ?? (parent === undefined ? 'simulation' : mechanismOf(parent));
+    const found = ownMechanism ?? (parent === undefined ? 'simulation' : mechanismOf(parent));
     mechanisms.set(id, found);
     return found;
   };
@@ -95,13 +98,13 @@
   return times;
 }
 
-/** The same shares of another total. */
-function scaled(times: MechanismTimes, totalMs: number): MechanismTimes {
+/** Scales the times to a given total, keeping their proportions. */
+function scaleTo(times: MechanismTimes, totalMs: number): MechanismTimes {
   const sampledMs = [...times.values()].reduce((sum, spentMs) => sum + spentMs, 0);
   return new Map([...times].map(([name, spentMs]) => [name, (spentMs * totalMs) / sampledMs]));
 }
 
-/** Undefined where the frame belongs to whoever called it. */
+/** Mechanism of a stack frame; undefined if its time counts for the caller. */
 function mechanismOfFrame({ functionName, url }: Runtime.CallFrame): string | undefined {
   if (functionName === '(garbage collector)') return 'garbage';
   if (functionName === '(idle)') return 'simulation';
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -1,4 +1,4 @@
-/** What the decision for one request costs, over services of a usual and of a large size. */
+/** Cost of placing one request, for a service of typical size and a large one. */
 import { createHasher } from '../src/runtime/hasher.js';
 import { SeededRandom, randomInteger } from '../src/runtime/random.js';
 import { EngineHealth } from '../src/state/routing/engine-health.js';
@@ -17,21 +17,21 @@
 const SERVICE = 'generation';
 const ENGINE_COUNTS = [82, 730];
 const ZONES = 6;
-const SUBJECTS = 64;
+const AFFINITY_KEYS = 64;
 const SHARED_TOKENS = 6_000;
-const OWN_TOKENS = 400;
-/** Share of the engines that keep a subject's shared part. */
-const KEPT_SHARE = 0.2;
+const UNIQUE_TOKENS = 400;
+/** Share of the engines that cache the prefix of an affinity key. */
+const CACHED_SHARE = 0.2;
 const ROUNDS = 60;
 const CALLS_PER_ROUND = 200;
 
-/** Median decisions. */
+/** Median time of a placement, for each engine count. */
 export async function benchPlacement(): Promise<BenchResult[]> {
   const homes = new HomeRanking(await createHasher());
-  return ENGINE_COUNTS.map((engines) => benchDecision(engines, homes));
+  return ENGINE_COUNTS.map((engines) => benchPlacementOf(engines, homes));
 }
 
-function benchDecision(engines: number, homes: HomeRanking): BenchResult {
+function benchPlacementOf(engines: number, homes: HomeRanking): BenchResult {
   const random = new SeededRandom(engines);
   const registry = createRegistry(engines);
   const tables = createTables(registry, homes, random);
@@ -40,8 +40,8 @@
   const value = medianMicroseconds(ROUNDS, CALLS_PER_ROUND, () => {
     requests += 1;
     const parts = [
-      { id: `subject-${requests % SUBJECTS}`, tokens: SHARED_TOKENS },
-      { id: `own-${requests}`, tokens: OWN_TOKENS },
+      { id: `subject-${requests % AFFINITY_KEYS}`, tokens: SHARED_TOKENS },
+      { id: `own-${requests}`, tokens: UNIQUE_TOKENS },
     ];
     placeRequest(
       {
@@ -56,7 +56,7 @@
         generation: {
           model: MODEL,
           parts,
-          promptTokens: SHARED_TOKENS + OWN_TOKENS,
+          promptTokens: SHARED_TOKENS + UNIQUE_TOKENS,
           maximumOutputTokens: 200,
         },
         isolatedTenant: undefined,
@@ -98,10 +98,10 @@
   random: SeededRandom,
 ): PlacementTables {
   const loads = new LoadTable();
-  const kept = new CachedPrefixes();
+  const cachedPrefixes = new CachedPrefixes();
   const versions = new WeightVersions(7_000, new StoreOutages());
   versions.note(MODEL, { version: 1, namedMs: -100_000, isWitnessed: true });
-  const reported = new Map(
+  const engineLoads = new Map(
     [...registry.ids].map((id) => [
       id,
       {
@@ -111,12 +111,13 @@
       },
     ]),
   );
-  loads.receive('summary', 1, reported, 0);
+  loads.receive('summary', 1, engineLoads, 0);
   const salt = cacheSaltOf(MODEL, 1, undefined);
   for (const id of registry.ids) {
-    for (let subject = 0; subject < SUBJECTS; subject += 1) {
-      if (random.next() < KEPT_SHARE) kept.note(id, salt, `subject-${subject}`, SHARED_TOKENS);
+    for (let affinityKey = 0; affinityKey < AFFINITY_KEYS; affinityKey += 1) {
+      if (random.next() < CACHED_SHARE)
+        cachedPrefixes.note(id, salt, `subject-${affinityKey}`, SHARED_TOKENS);
     }
   }
-  return { loads, health: new EngineHealth(), kept, versions, random, homes };
+  return { loads, health: new EngineHealth(), kept: cachedPrefixes, versions, random, homes };
 }
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,4 +1,4 @@
-/** What agent and router add to the time to the first token, and what a relayed chunk costs. */
+/** Latency that agent and router add to the first token, and the cost of relaying a chunk. */
 import http from 'node:http';
 import { type Histogram, build } from 'hdr-histogram-js';
 import { sendRequest } from '../src/lab/load/load-generator.js';
@@ -9,7 +9,7 @@
 
 const MICROSECONDS_PER_MS = 1_000;
 const PROMPT_CHARACTERS = 4_000;
-const WARM_UP = 100;
+const WARM_UP_REQUESTS = 100;
 const SAMPLES = 1_000;
 const STREAMS = 48;
 const WARM_UP_TOKENS = 500;
@@ -19,18 +19,18 @@
   .repeat(100)
   .slice(0, PROMPT_CHARACTERS);
 
-/** Added time to the first token on an unloaded path. */
+/** Latency added to the first token without load. */
 export async function benchFirstToken(): Promise<BenchResult[]> {
   const deployment = await startBenchDeployment({ decode_step_ms: 0 });
   const agent = new http.Agent({ keepAlive: true });
-  const restBytes = await deployment.routerMetric('process_resident_memory_bytes');
+  const idleBytes = await deployment.routerMetric('process_resident_memory_bytes');
   const direct = createHistogram();
   const relayed = createHistogram();
-  // One after the other in turn, so that both see the same machine.
-  for (let index = 0; index < WARM_UP + SAMPLES; index += 1) {
+  // Alternates direct and relayed requests, so that both run under the same machine load.
+  for (let index = 0; index < WARM_UP_REQUESTS + SAMPLES; index += 1) {
     const directMs = await firstTokenDirect(deployment.engineAddress, index);
     const relayedMs = await firstTokenRelayed(deployment.agentAddress, agent);
-    if (index < WARM_UP) continue;
+    if (index < WARM_UP_REQUESTS) continue;
     direct.recordValue(Math.round(directMs * MICROSECONDS_PER_MS));
     relayed.recordValue(Math.round(relayedMs * MICROSECONDS_PER_MS));
   }
@@ -44,15 +44,15 @@
     { name: 'added time to first token, p50', value: addedMs(50), unit: 'ms' },
     { name: 'added time to first token, p99', value: addedMs(99), unit: 'ms', target: '<= 3' },
     {
-      name: 'memory of a router at rest',
-      value: restBytes / BYTES_PER_MB,
+      name: 'memory of an idle router',
+      value: idleBytes / BYTES_PER_MB,
       unit: 'MB',
       target: '< 100',
     },
   ];
 }
 
-/** Chunks relayed for each second of the router's processor time, one token a chunk. */
+/** Chunks of one token each, relayed per second of the router's processor time. */
 export async function benchChunks(): Promise<BenchResult[]> {
   const deployment = await startBenchDeployment({ decode_step_ms: 2, maximum_running: STREAMS });
   const agent = new http.Agent({ keepAlive: true });
@@ -72,7 +72,7 @@
   await deployment.stop();
   return [
     {
-      name: 'chunks relayed a second of router processor time',
+      name: 'chunks relayed per second of router processor time',
       value: chunks / cpu,
       unit: '1/s',
       target: '>= 50,000',
--- a/bench/result.ts
+++ b/bench/result.ts
@@ -1,17 +1,17 @@
-/** Figures of the bench and how they are shown. */
+/** Results of the bench and their text output. */
 
 const MICROSECONDS_PER_MS = 1_000;
 
-/** One figure. */
+/** One measured value. */
 export interface BenchResult {
   readonly name: string;
   readonly value: number;
   readonly unit: string;
-  /** What is to be reached, where something is. */
+  /** Required value, if any, such as `< 100`. */
   readonly target?: string;
 }
 
-/** A figure with three significant digits, thousands separated. */
+/** Formats a value with three significant digits and thousands separators. */
 export function formatFigure(value: number): string {
   const SIGNIFICANT_DIGITS = 3;
   return Number(value.toPrecision(SIGNIFICANT_DIGITS)).toLocaleString('en-US', {
@@ -19,18 +19,18 @@
   });
 }
 
-/** One line for each figure. */
+/** Formats the results, one line each. */
 export function formatResults(results: readonly BenchResult[]): string {
   const width = Math.max(...results.map((result) => result.name.length));
   return results
     .map(({ name, value, unit, target }) => {
-      const goal = target === undefined ? '' : `  (to reach: ${target})`;
-      return `${name.padEnd(width)}  ${formatFigure(value)} ${unit}${goal}`;
+      const targetNote = target === undefined ? '' : `  (target: ${target})`;
+      return `${name.padEnd(width)}  ${formatFigure(value)} ${unit}${targetNote}`;
     })
     .join('\n');
 }
 
-/** Median time of one call, in microseconds. */
+/** Median time of a call over several rounds, in microseconds. */
 export function medianMicroseconds(
   rounds: number,
   callsPerRound: number,
--- a/bench/state.ts
+++ b/bench/state.ts
@@ -1,4 +1,4 @@
-/** What single steps of the decision cost, measured in this process. */
+/** Cost of the individual steps of a routing decision. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { type Hasher, createHasher } from '../src/runtime/hasher.js';
@@ -18,7 +18,7 @@
 const FEED_BLOCKS = 52_000;
 const MICROSECONDS_PER_MS = 1_000;
 
-/** All figures of this file. */
+/** Runs all benchmarks of this file. */
 export async function benchState(): Promise<BenchResult[]> {
   return [
     await benchChain(),
@@ -38,7 +38,10 @@
   return { name, value: time / MICROSECONDS_PER_MS, unit: 'ms', target: '< 0.5' };
 }
 
-/** Taken of requests that broke with an engine, and of all while any request is suspected. */
+/**
+ * Routers compute the fingerprint of each request that an engine crash interrupts, and of all
+ * requests while any request is suspected of causing crashes.
+ */
 function benchFingerprint(): BenchResult {
   const body = Buffer.alloc(PROMPT_BYTES, 'a prompt of 32,000 tokens ');
   const identity = {
@@ -112,15 +115,15 @@
 }
 
 setFlagsFromString('--expose_gc');
-const collectGarbage = runInNewContext('gc') as () => void;
+const runGarbageCollection = runInNewContext('gc') as () => void;
 
-/** Bytes in use once nothing is left to collect. */
+/** Heap size in bytes after a full garbage collection. */
 function heapAfterCollection(): number {
-  collectGarbage();
+  runGarbageCollection();
   return process.memoryUsage().heapUsed;
 }
 
-/** Applies chains of 2,000 blocks each; answers events a second. */
+/** Applies chains of 2,000 blocks each; returns the rate in events per second. */
 function applyEvents(feed: EventFeed, hasher: Hasher): number {
   const CHAIN_BLOCKS = 2_000;
   const text = Buffer.alloc(BLOCK_BYTES * CHAIN_BLOCKS, 'blocks ');
@@ -150,11 +153,16 @@
   const bytes = (heapAfterCollection() - heapBefore) / feed.size;
   return [
     {
-      name: 'decoded cache events applied a second',
+      name: 'decoded cache events applied per second',
       value: eventsPerSecond,
       unit: '1/s',
       target: '>= 1,000,000',
     },
-    { name: 'memory of a believed block at its owner', value: bytes, unit: 'B', target: '< 100' },
+    {
+      name: 'memory per recorded cache block at its owner',
+      value: bytes,
+      unit: 'B',
+      target: '< 100',
+    },
   ];
 }
