--- a/src/edge/caller-api/api-error.ts
+++ b/src/edge/caller-api/api-error.ts
@@ -1,4 +1,4 @@
-/** Errors as callers see them: `{error: {type, message, not_run, request_id}}`. */
+/** Error responses to callers: `{error: {type, message, not_run, request_id}}`. */
 import { HttpStatus } from '../../protocol/http-status.js';
 import type Hapi from '@hapi/hapi';
 import { type FailedCall, retryAfterOf } from '../../coordination/errors.js';
@@ -9,31 +9,35 @@
   readonly type: string;
   readonly message: string;
   readonly notRun: boolean;
-  /** Seconds after which to come again; 0 for none. */
+  /** Value of `Retry-After` in seconds; 0 omits the header. */
   readonly retryAfterSeconds: number;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** An error found before anything was sent. */
-function unsent(status: number, type: string, message: string): ApiError {
+/** An error that was found before the request was sent to a router. */
+function notRunError(status: number, type: string, message: string): ApiError {
   return { status, type, message, notRun: true, retryAfterSeconds: 0 };
 }
 
 export const invalidRequest = (message: string): ApiError =>
-  unsent(HttpStatus.BadRequest, 'invalid_request_error', message);
+  notRunError(HttpStatus.BadRequest, 'invalid_request_error', message);
 export const invalidKey = (): ApiError =>
-  unsent(HttpStatus.Unauthorized, 'authentication_error', 'the bearer key is missing or not known');
+  notRunError(
+    HttpStatus.Unauthorized,
+    'authentication_error',
+    'the bearer key is missing or not known',
+  );
 export const notFound = (message: string): ApiError =>
-  unsent(HttpStatus.NotFound, 'not_found', message);
+  notRunError(HttpStatus.NotFound, 'not_found', message);
 export const forbidden = (message: string): ApiError =>
-  unsent(HttpStatus.Forbidden, 'permission_error', message);
+  notRunError(HttpStatus.Forbidden, 'permission_error', message);
 export const notReady = (): ApiError => ({
-  ...unsent(HttpStatus.Unavailable, 'unavailable', 'no configuration has been received yet'),
+  ...notRunError(HttpStatus.Unavailable, 'unavailable', 'no configuration has been received yet'),
   retryAfterSeconds: 1,
 });
 
-/** Turns a failed call into the response the caller gets. */
+/** Maps a failed call to the error response for the caller. */
 export function apiErrorOf(failed: FailedCall): ApiError {
   const { failure, notRun } = failed;
   const retryAfterSeconds = Math.ceil(retryAfterOf(failure) / MS_PER_SECOND);
@@ -75,7 +79,7 @@
   };
 }
 
-/** Answers with an error. */
+/** Creates an error response. */
 export function respondError(
   h: Hapi.ResponseToolkit,
   error: ApiError,
--- a/src/edge/caller-api/generation-bodies.ts
+++ b/src/edge/caller-api/generation-bodies.ts
@@ -1,4 +1,4 @@
-/** Request and response bodies of chat completions and completions. */
+/** Request and response bodies of chat completions and text completions. */
 import { z } from 'zod';
 import type { CallerUsage } from '../../coordination/agent/caller.js';
 
@@ -12,25 +12,25 @@
   content: z.union([z.string(), z.array(textPartSchema), z.null()]),
 });
 
-const tokens = z.number().int().min(1).max(MAXIMUM_TOKENS);
+const maximumTokensSchema = z.number().int().min(1).max(MAXIMUM_TOKENS);
 
-/** Fields that both kinds share. Unknown fields are ignored, as client libraries send many. */
+/** Fields of both request shapes. Unknown fields are ignored, since client libraries send many. */
 const commonFields = {
   model: z.string().min(1),
   stream: z.boolean().nullish(),
   stream_options: z.object({ include_usage: z.boolean().nullish() }).nullish(),
-  max_tokens: tokens.nullish(),
+  max_tokens: maximumTokensSchema.nullish(),
 };
 
 const chatSchema = z.object({
   ...commonFields,
   messages: z.array(messageSchema).min(1),
-  max_completion_tokens: tokens.nullish(),
+  max_completion_tokens: maximumTokensSchema.nullish(),
 });
 
 const completionSchema = z.object({ ...commonFields, prompt: z.string() });
 
-/** A generation as asked for. */
+/** The parsed parameters of a generation request. */
 export interface GenerationBody {
   readonly model: string;
   readonly prompt: string;
@@ -39,12 +39,12 @@
   readonly includeUsage: boolean;
 }
 
-/** The parsed body, or what is wrong with it. */
+/** The parsed body, or a description of its first error. */
 export type BodyResult =
   | { readonly kind: 'ok'; readonly body: GenerationBody }
   | { readonly kind: 'malformed'; readonly message: string };
 
-/** The two shapes of the interface. */
+/** Shape of a request: chat completion or text completion. */
 export type CompletionShape = 'chat' | 'text';
 
 /** Parses a request body. */
@@ -67,10 +67,10 @@
   return { kind: 'ok', body: commonBody(data, data.prompt, data.max_tokens) };
 }
 
-type Common = Pick<z.infer<typeof completionSchema>, 'model' | 'stream' | 'stream_options'>;
+type CommonFields = Pick<z.infer<typeof completionSchema>, 'model' | 'stream' | 'stream_options'>;
 
 function commonBody(
-  data: Common,
+  data: CommonFields,
   prompt: string,
   maxTokens: number | null | undefined,
 ): GenerationBody {
@@ -89,7 +89,7 @@
   return { kind: 'malformed', message: `${path}: ${issue?.message ?? 'malformed'}` };
 }
 
-/** One text of all messages; the same beginning of messages gives the same beginning of text. */
+/** Renders messages as one prompt. Equal leading messages render as equal prompt prefixes. */
 function renderMessages(messages: z.infer<typeof chatSchema>['messages']): string {
   const rendered = messages.map(({ role, content }) => `<|${role}|>\n${textOf(content)}\n`);
   return `${rendered.join('')}<|assistant|>\n`;
@@ -101,12 +101,12 @@
   return content.map((part) => part.text).join('');
 }
 
-/** Identity of one response. */
+/** Fields that identify a response, repeated in each of its chunks. */
 export interface ResponseIdentity {
   readonly shape: CompletionShape;
   readonly requestId: string;
   readonly model: string;
-  /** Seconds since 1970. */
+  /** Unix time in seconds. */
   readonly created: number;
 }
 
@@ -127,8 +127,8 @@
   return { id: `chatcmpl-${requestId}`, object, created, model };
 }
 
-/** The whole response of a request that is not streamed. */
-export function wholeBody(
+/** Body of a response that is not streamed. */
+export function completeBody(
   identity: ResponseIdentity,
   text: string,
   finishReason: string,
@@ -140,7 +140,7 @@
   return { ...envelope(identity, false), choices: [choice], usage: usageBody(usage) };
 }
 
-/** One streamed piece of text. */
+/** A chunk of streamed text. */
 export function chunkBody(identity: ResponseIdentity, text: string, first: boolean): object {
   const delta = first ? { role: 'assistant', content: text } : { content: text };
   const content = identity.shape === 'chat' ? { delta } : { text };
@@ -148,14 +148,14 @@
   return { ...envelope(identity, true), choices: [choice] };
 }
 
-/** The last chunk of a stream: why it ended. */
-export function lastChunkBody(identity: ResponseIdentity, finishReason: string): object {
+/** The final chunk of a stream, with the finish reason. */
+export function finalChunkBody(identity: ResponseIdentity, finishReason: string): object {
   const content = identity.shape === 'chat' ? { delta: {} } : { text: '' };
   const choice = { index: 0, ...content, finish_reason: finishReason, logprobs: null };
   return { ...envelope(identity, true), choices: [choice] };
 }
 
-/** The usage chunk, where the caller asked for it. */
+/** The usage chunk, sent if the caller requested it. */
 export function usageChunkBody(identity: ResponseIdentity, usage: CallerUsage): object {
   return { ...envelope(identity, true), choices: [], usage: usageBody(usage) };
 }
--- a/src/edge/caller-api/generation-handler.ts
+++ b/src/edge/caller-api/generation-handler.ts
@@ -1,4 +1,4 @@
-/** Handles chat completions and completions, streamed and whole. */
+/** Handles chat completions and text completions, streamed or not. */
 import { PassThrough } from 'node:stream';
 import type Hapi from '@hapi/hapi';
 import type { AgentNode } from '../../coordination/agent/agent-node.js';
@@ -21,26 +21,26 @@
   type GenerationBody,
   type ResponseIdentity,
   parseBody,
-  wholeBody,
+  completeBody,
 } from './generation-bodies.js';
 import { type RequestContext, readContext } from './request-context.js';
 import { StreamWriter } from './stream-writer.js';
 
 const MS_PER_SECOND = 1_000;
 
-/** The handler of one shape. */
+/** Creates the request handler for one shape. */
 export function generationHandler(agent: AgentNode, shape: CompletionShape): Hapi.Lifecycle.Method {
   return (request, h) => {
-    const read = readContext(agent, request);
-    if (read.kind === 'refused') return respondError(h, read.error, '');
-    const { context } = read;
+    const contextResult = readContext(agent, request);
+    if (contextResult.kind === 'refused') return respondError(h, contextResult.error, '');
+    const { context } = contextResult;
     const parsed = parseBody(shape, request.payload);
     if (parsed.kind === 'malformed') {
       return respondError(h, invalidRequest(parsed.message), context.requestId);
     }
     const { body } = parsed;
-    const refusal = modelRefusal(agent, context.tenant, body.model);
-    if (refusal) return respondError(h, refusal, context.requestId);
+    const modelError = checkModel(agent, context.tenant, body.model);
+    if (modelError) return respondError(h, modelError, context.requestId);
     const identity = {
       shape,
       requestId: context.requestId,
@@ -49,12 +49,12 @@
     };
     const generation = generationRequest(agent, context, body);
     return body.stream
-      ? streamed(agent, h, generation, identity, body.includeUsage)
-      : whole(agent, request, h, generation, identity);
+      ? respondStreaming(agent, h, generation, identity, body.includeUsage)
+      : respondComplete(agent, request, h, generation, identity);
   };
 }
 
-function modelRefusal(agent: AgentNode, tenant: string, model: string): ApiError | undefined {
+function checkModel(agent: AgentNode, tenant: string, model: string): ApiError | undefined {
   if (agent.configuration.allowedModel(tenant, model)) return undefined;
   if (agent.configuration.knowsModel(model)) {
     return forbidden(`the key's tenant may not use model "${model}"`);
@@ -75,7 +75,7 @@
   return { kind: 'generation', ...common, model, prompt, maxTokens };
 }
 
-function streamed(
+function respondStreaming(
   agent: AgentNode,
   h: Hapi.ResponseToolkit,
   generation: GenerationRequest,
@@ -85,7 +85,7 @@
   const output = new PassThrough();
   const writer = new StreamWriter(output, identity, includeUsage);
   return new Promise((resolve) => {
-    const opening = new StreamOpening(writer, (failed) => {
+    const sink = new DeferredStreamSink(writer, (failed) => {
       resolve(
         failed
           ? respondError(h, apiErrorOf(failed), identity.requestId)
@@ -96,29 +96,26 @@
               .header('x-request-id', identity.requestId),
       );
     });
-    writer.handle = agent.submit(generation, opening);
+    writer.handle = agent.submit(generation, sink);
   });
 }
 
-/**
- * Holds back the status line until the first text, so that a request refused before is answered
- * with a proper status.
- */
-class StreamOpening implements CallerSink {
-  private opened = false;
+/** Starts the response with the first text, so that an earlier failure has its own HTTP status. */
+class DeferredStreamSink implements CallerSink {
+  private responseStarted = false;
 
   constructor(
     private readonly writer: StreamWriter,
-    private readonly open: (failed?: FailedCall) => void,
+    private readonly startResponse: (failed?: FailedCall) => void,
   ) {}
 
   onTexts(sequence: number, texts: readonly string[]): void {
-    this.ensureOpen();
+    this.ensureResponseStarted();
     this.writer.onTexts(sequence, texts);
   }
 
   onFinished(finishReason: string, usage: CallerUsage): void {
-    this.ensureOpen();
+    this.ensureResponseStarted();
     this.writer.onFinished(finishReason, usage);
   }
 
@@ -127,18 +124,18 @@
   }
 
   onFailed(failed: FailedCall): void {
-    if (this.opened) this.writer.onFailed(failed);
-    else this.open(failed);
+    if (this.responseStarted) this.writer.onFailed(failed);
+    else this.startResponse(failed);
   }
 
-  private ensureOpen(): void {
-    if (this.opened) return;
-    this.opened = true;
-    this.open();
+  private ensureResponseStarted(): void {
+    if (this.responseStarted) return;
+    this.responseStarted = true;
+    this.startResponse();
   }
 }
 
-function whole(
+function respondComplete(
   agent: AgentNode,
   request: Hapi.Request,
   h: Hapi.ResponseToolkit,
@@ -148,21 +145,21 @@
   return new Promise((resolve) => {
     const texts: string[] = [];
     let ended = false;
-    const answer = (response: Hapi.ResponseObject): void => {
+    const respond = (response: Hapi.ResponseObject): void => {
       ended = true;
       resolve(response.header('x-request-id', identity.requestId));
     };
     const handle = agent.submit(generation, {
-      onTexts: (_sequence, fresh) => {
-        texts.push(...fresh);
-        handle.consumed(fresh.length);
+      onTexts: (_sequence, newTexts) => {
+        texts.push(...newTexts);
+        handle.consumed(newTexts.length);
       },
       onFinished: (reason, usage) => {
-        answer(h.response(wholeBody(identity, texts.join(''), reason, usage)));
+        respond(h.response(completeBody(identity, texts.join(''), reason, usage)));
       },
       onOutcome: () => undefined,
       onFailed: (failed) => {
-        answer(respondError(h, apiErrorOf(failed), identity.requestId));
+        respond(respondError(h, apiErrorOf(failed), identity.requestId));
       },
     });
     request.raw.res.once('close', () => {
--- a/src/edge/caller-api/server.ts
+++ b/src/edge/caller-api/server.ts
@@ -1,4 +1,4 @@
-/** The callers' door: the chat-completions interface over HTTP (docs/INTERFACES.md). */
+/** The HTTP server of the caller API (docs/INTERFACES.md). */
 import { HttpStatus } from '../../protocol/http-status.js';
 import Hapi from '@hapi/hapi';
 import type { AgentNode } from '../../coordination/agent/agent-node.js';
@@ -11,15 +11,15 @@
 const MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
 const MS_PER_SECOND = 1_000;
 
-/** The running interface. */
+/** A running server. */
 export interface CallerApi {
   /** Bound `HOST:PORT`. */
   readonly address: string;
-  /** Takes no new connections; answers what runs, then closes. */
+  /** Stops accepting connections, waits for running requests up to the timeout, then closes. */
   stop(timeoutMs: number): Promise<void>;
 }
 
-/** Starts the interface of an agent. */
+/** Starts the caller API of an agent. */
 export async function startCallerApi(agent: AgentNode, address: string): Promise<CallerApi> {
   const { host, port } = parseAddress(address);
   const server = Hapi.server({
@@ -33,7 +33,7 @@
   });
   server.listener.on('connection', (socket) => socket.setNoDelay(true));
   addRoutes(server, agent);
-  shapeErrors(server);
+  formatFrameworkErrors(server);
   await server.start();
   return {
     address: formatAddress(host, Number(server.info.port)),
@@ -61,9 +61,9 @@
     method: 'GET',
     path: '/v1/models',
     handler: (request, h) => {
-      const read = readContext(agent, request);
-      if (read.kind === 'refused') return respondError(h, read.error, '');
-      const models = agent.configuration.parametersOf(read.context.tenant)?.models ?? {};
+      const contextResult = readContext(agent, request);
+      if (contextResult.kind === 'refused') return respondError(h, contextResult.error, '');
+      const models = agent.configuration.parametersOf(contextResult.context.tenant)?.models ?? {};
       const created = Math.floor(Date.now() / MS_PER_SECOND);
       const data = Object.keys(models).map((id) => ({
         id,
@@ -76,8 +76,8 @@
   });
 }
 
-/** Gives errors that hapi raises itself (malformed JSON, body too large, no route) the same shape. */
-function shapeErrors(server: Hapi.Server): void {
+/** Formats errors raised by hapi (malformed JSON, body too large, no route) as API errors. */
+function formatFrameworkErrors(server: Hapi.Server): void {
   server.ext('onPreResponse', (request, h) => {
     const { response } = request;
     if (!('isBoom' in response)) return h.continue;
--- a/src/edge/caller-api/service-handler.ts
+++ b/src/edge/caller-api/service-handler.ts
@@ -1,4 +1,4 @@
-/** Handles operations of plain services. */
+/** Handles operations of plain services, which have no inference engine. */
 import type Hapi from '@hapi/hapi';
 import type { AgentNode } from '../../coordination/agent/agent-node.js';
 import { identifierForKey } from '../../coordination/agent/idempotency-keys.js';
@@ -6,12 +6,12 @@
 import { apiErrorOf, notFound, respondError } from './api-error.js';
 import { readContext } from './request-context.js';
 
-/** The handler of `POST /v1/services/{service}/{operation}`. */
+/** Creates the handler of `POST /v1/services/{service}/{operation}`. */
 export function serviceHandler(agent: AgentNode): Hapi.Lifecycle.Method {
   return (request, h) => {
-    const read = readContext(agent, request);
-    if (read.kind === 'refused') return respondError(h, read.error, '');
-    const { context } = read;
+    const contextResult = readContext(agent, request);
+    if (contextResult.kind === 'refused') return respondError(h, contextResult.error, '');
+    const { context } = contextResult;
     const service = String(request.params.service);
     const operation = String(request.params.operation);
     const policy = agent.configuration.operation(context.tenant, service, operation);
@@ -20,7 +20,7 @@
       return respondError(h, error, context.requestId);
     }
     const { tenant, deadlineMs, priority, idempotencyKey } = context;
-    // What may be repeated needs no identity beyond this one call.
+    // A repeatable operation needs no deduplication, so its idempotency key is ignored.
     const key = policy.repeatable ? undefined : idempotencyKey;
     const scope = `${service}/${operation}`;
     const requestId = key === undefined ? context.requestId : identifierForKey(tenant, scope, key);
--- a/src/edge/caller-api/stream-writer.ts
+++ b/src/edge/caller-api/stream-writer.ts
@@ -1,4 +1,4 @@
-/** Writes a generation to the caller as server-sent events, no faster than the caller reads. */
+/** Streams a generation to the caller as server-sent events, with backpressure. */
 import type { PassThrough } from 'node:stream';
 import type { CallerHandle, CallerSink, CallerUsage } from '../../coordination/agent/caller.js';
 import type { FailedCall } from '../../coordination/errors.js';
@@ -6,15 +6,15 @@
 import {
   type ResponseIdentity,
   chunkBody,
-  lastChunkBody,
+  finalChunkBody,
   usageChunkBody,
 } from './generation-bodies.js';
 
-/** The stream of one response. */
+/** Writes the event stream of one response. */
 export class StreamWriter implements CallerSink {
-  /** Set once the request was submitted. */
+  /** Set once the request has been submitted. */
   handle: CallerHandle | undefined;
-  private unacknowledged = 0;
+  private unacknowledgedChunks = 0;
   private first = true;
   private ended = false;
 
@@ -32,23 +32,23 @@
   onTexts(sequence: number, texts: readonly string[]): void {
     const body = chunkBody(this.identity, texts.join(''), this.first);
     this.first = false;
-    this.unacknowledged += texts.length;
+    this.unacknowledgedChunks += texts.length;
     const lastSequence = sequence + texts.length - 1;
     if (this.write(body, lastSequence)) this.acknowledge();
   }
 
   onFinished(finishReason: string, usage: CallerUsage): void {
-    this.write(lastChunkBody(this.identity, finishReason));
+    this.write(finalChunkBody(this.identity, finishReason));
     if (this.includeUsage) this.write(usageChunkBody(this.identity, usage));
     this.output.write('data: [DONE]\n\n');
     this.finish();
   }
 
   onOutcome(): void {
-    throw new Error('outcome of an operation in a stream');
+    throw new Error('unexpected operation outcome in a generation stream');
   }
 
-  /** The status line is out by now, so that the error is the stream's last event. */
+  /** Reports the error as the last event, since the status line has already been sent. */
   onFailed(failed: FailedCall): void {
     this.write(errorBody(apiErrorOf(failed), this.identity.requestId));
     this.finish();
@@ -65,8 +65,8 @@
   }
 
   private acknowledge(): void {
-    const chunks = this.unacknowledged;
-    this.unacknowledged = 0;
+    const chunks = this.unacknowledgedChunks;
+    this.unacknowledgedChunks = 0;
     this.handle?.consumed(chunks);
   }
 }
