--- a/src/cli/daemon-commands.ts
+++ b/src/cli/daemon-commands.ts
@@ -1,4 +1,4 @@
-/** `peatspan agent` and `peatspan router`. */
+/** Commands `peatspan agent` and `peatspan router`. */
 import type { Argv } from 'yargs';
 import { stopOnSignal } from '../programs/lifecycle.js';
 import { loadSettings } from '../settings/load-settings.js';
@@ -6,19 +6,19 @@
 import { ConsoleLogger } from '../telemetry/console-logger.js';
 import { withSettings } from './options.js';
 
-/** Adds the daemons' commands. */
+/** Adds the commands that start daemons. */
 export function addDaemonCommands(yargs: Argv): Argv {
   return yargs
     .command(
       'agent',
-      "the callers' door, beside each caller",
+      'start an agent: the local HTTP API for callers',
       (command) =>
         withSettings(command)
           .option('id', { type: 'string', describe: 'node identifier' })
           .option('zone', { type: 'string', describe: 'zone of this node' })
           .option('callers', { type: 'string', describe: 'address for callers (HTTP)' })
           .option('operations', { type: 'string', describe: 'address for metrics and health' })
-          .option('router', { type: 'array', string: true, describe: 'peer address of a router' }),
+          .option('router', { type: 'array', string: true, describe: 'peer addresses of routers' }),
       async (argv) => {
         const settings = loadSettings(agentSettingsSchema, argv.settings, {
           'node.id': argv.id,
@@ -36,14 +36,14 @@
     )
     .command(
       'router',
-      'routes requests, one of many nodes',
+      'start a router: forwards requests to engines and back ends',
       (command) =>
         withSettings(command)
           .option('id', { type: 'string', describe: 'node identifier' })
           .option('zone', { type: 'string', describe: 'zone of this node' })
           .option('region', { type: 'string', describe: 'region of this node' })
           .option('peer', { type: 'string', describe: 'address for agents and routers (TCP)' })
-          .option('gossip', { type: 'string', describe: 'address for membership (UDP)' })
+          .option('gossip', { type: 'string', describe: 'address for group membership (UDP)' })
           .option('operations', { type: 'string', describe: 'address for metrics and health' }),
       async (argv) => {
         const settings = loadSettings(routerSettingsSchema, argv.settings, {
--- a/src/cli/lab-commands.ts
+++ b/src/cli/lab-commands.ts
@@ -1,4 +1,4 @@
-/** `peatspan lab ...`: stand-ins of everything the system talks to. */
+/** `peatspan lab ...`: simulated platform, engines and back ends for local use. */
 import type { Argv } from 'yargs';
 import { BackendStore } from '../lab/backend/backend-core.js';
 import { stopOnSignal } from '../programs/lifecycle.js';
@@ -21,9 +21,9 @@
 import { addUpCommand } from './lab-up-command.js';
 import { withSettings } from './options.js';
 
-/** Adds the laboratory's commands. */
+/** Adds the `lab` commands. */
 export function addLabCommands(yargs: Argv): Argv {
-  return yargs.command('lab', 'stand-ins, sample traffic and experiments', (lab) =>
+  return yargs.command('lab', 'simulated systems, sample traffic and experiments', (lab) =>
     [
       addPlatformCommand,
       addEngineCommand,
@@ -33,18 +33,18 @@
       addExperimentCommand,
     ]
       .reduce((command, add) => add(command), lab)
-      .demandCommand(1, 'name a laboratory command'),
+      .demandCommand(1, 'specify a lab command'),
   );
 }
 
 function addPlatformCommand(yargs: Argv): Argv {
   return yargs.command(
     'platform',
-    'stand-in object API and machine list',
+    'start a simulated object API and machine list',
     (command) =>
       withSettings(command)
         .option('http', { type: 'string', describe: 'address to listen on' })
-        .option('templates', { type: 'string', describe: 'first configuration (YAML)' }),
+        .option('templates', { type: 'string', describe: 'initial configuration (YAML)' }),
     async (argv) => {
       const settings = loadSettings(platformSettingsSchema, argv.settings, {
         'listen.http': argv.http,
@@ -65,13 +65,16 @@
 function addEngineCommand(yargs: Argv): Argv {
   return yargs.command(
     'engine',
-    'stand-in model engine',
+    'start a simulated inference engine',
     (command) =>
       withSettings(command)
         .option('http', { type: 'string', describe: 'address to listen on' })
         .option('id', { type: 'string', describe: 'engine identifier' })
-        .option('model', { type: 'string', describe: 'model served' })
-        .option('weights-digest', { type: 'string', describe: 'digest of the weights served' }),
+        .option('model', { type: 'string', describe: 'model that the engine serves' })
+        .option('weights-digest', {
+          type: 'string',
+          describe: 'digest of the weights that the engine serves',
+        }),
     async (argv) => {
       const settings = loadSettings(engineSettingsSchema, argv.settings, {
         'listen.http': argv.http,
@@ -97,7 +100,7 @@
 function addBackendCommand(yargs: Argv): Argv {
   return yargs.command(
     'backend',
-    'stand-in plain back end: lookups and writes',
+    'start a simulated back end that serves lookups and writes',
     (command) =>
       withSettings(command)
         .option('http', { type: 'string', describe: 'address to listen on' })
--- a/src/cli/lab-scale-command.ts
+++ b/src/cli/lab-scale-command.ts
@@ -1,30 +1,43 @@
-/** `peatspan lab scale`: hollow routers by the hundred on a virtual clock. */
+/** `peatspan lab scale`: simulates a large group of routers on a virtual clock. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 import type { Argv } from 'yargs';
 import { type RecoveryFigures, type ScaleFigures, runScale } from '../lab/scale/scale-run.js';
 
-/** Adds `lab scale`. */
+/** Adds the command `lab scale`. */
 export function addScaleCommand(yargs: Argv): Argv {
   return yargs.command(
     'scale',
-    'hollow routers by the hundred on a virtual clock, measured',
+    'simulate a large group of routers on a virtual clock and measure its costs',
     (command) =>
       command
-        .option('nodes', { type: 'number', default: 48, describe: 'routers' })
-        .option('engines', { type: 'number', default: 90, describe: 'engines' })
+        .option('nodes', { type: 'number', default: 48, describe: 'number of routers' })
+        .option('engines', { type: 'number', default: 90, describe: 'number of engines' })
         .option('tenants', { type: 'number', default: 850 })
-        .option('events', { type: 'number', default: 384, describe: 'events a second an engine' })
-        .option('blocks', { type: 'number', default: 26_000, describe: 'kept blocks an engine' })
-        .option('loss', { type: 'number', default: 0.05, describe: 'share of datagrams lost' })
-        .option('simulated-minutes', { type: 'number', default: 1, describe: 'steady phase' })
+        .option('events', {
+          type: 'number',
+          default: 384,
+          describe: 'cache events per engine and second',
+        })
+        .option('blocks', { type: 'number', default: 26_000, describe: 'cached blocks per engine' })
+        .option('loss', {
+          type: 'number',
+          default: 0.05,
+          describe: 'share of datagrams that are lost',
+        })
+        .option('simulated-minutes', {
+          type: 'number',
+          default: 1,
+          describe: 'length of the steady phase',
+        })
         .option('recovery', {
           type: 'boolean',
           default: true,
-          describe: 'measure failures too; --no-recovery ends after the configuration phase',
+          describe:
+            'also measure recovery from failures; --no-recovery ends after the configuration phase',
         })
         .option('seed', { type: 'number', default: 1 })
-        .option('out', { type: 'string', describe: 'folder for scale.json' }),
+        .option('out', { type: 'string', describe: 'directory for scale-NODES.json' }),
     async (argv) => {
       const startedMs = performance.now();
       const size = {
@@ -63,10 +76,10 @@
   return [
     `${size.nodes} nodes, ${size.engines} engines, ${size.datagramLoss * PERCENT} % loss`,
     `join                        ${figures.joinSeconds.toFixed(1)} s`,
-    `sent a node                 ${steady.bytesPerNodeSecond.toFixed(0)} B/s`,
+    `sent per node               ${steady.bytesPerNodeSecond.toFixed(0)} B/s`,
     ...kinds,
-    `processor a node            ${(steady.processorShare * PERCENT).toFixed(3)} % of a core, simulator included`,
-    `heap a node                 ${steady.heapMegabytesPerNode.toFixed(2)} MB`,
+    `processor per node          ${(steady.processorShare * PERCENT).toFixed(3)} % of a core, simulator included`,
+    `heap per node               ${steady.heapMegabytesPerNode.toFixed(2)} MB`,
     `false suspicions, deaths    ${steady.falseSuspicions}, ${steady.falseDeaths} in ${steady.seconds} s`,
     `open watches at the API     ${steady.openWatches}`,
     `configuration in force      p50 ${inForceSeconds.p50.toFixed(2)} s, p99 ${inForceSeconds.p99.toFixed(2)} s, worst ${inForceSeconds.worst.toFixed(2)} s`,
@@ -76,9 +89,9 @@
 
 function formatRecovery(recovery: RecoveryFigures): string[] {
   return [
-    `crash known to all          ${recovery.detectSeconds.toFixed(1)} s`,
-    `half restarted: ready       ${recovery.herdReadySeconds.toFixed(1)} s, all see all ${recovery.herdViewSeconds.toFixed(1)} s`,
-    `regions cut 120 s: healed   ${recovery.regionHealSeconds.toFixed(1)} s`,
+    `crash detected by all       ${recovery.detectSeconds.toFixed(1)} s`,
+    `half restarted: ready       ${recovery.herdReadySeconds.toFixed(1)} s, full view ${recovery.herdViewSeconds.toFixed(1)} s`,
+    `120 s partition: healed     ${recovery.regionHealSeconds.toFixed(1)} s`,
     `restart without object API  ${recovery.restartWithoutApiSeconds.toFixed(1)} s`,
   ];
 }
--- a/src/cli/lab-up-command.ts
+++ b/src/cli/lab-up-command.ts
@@ -1,4 +1,4 @@
-/** `peatspan lab up`: a whole deployment in one process, with sample traffic. */
+/** `peatspan lab up`: runs a complete deployment in one process, with sample traffic. */
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import type { Argv } from 'yargs';
@@ -19,23 +19,27 @@
 
 const DEFAULT_EXAMPLE = fileURLToPath(new URL('../../../examples/guild', import.meta.url));
 
-/** Adds `lab up`. */
+/** Adds the command `lab up`. */
 export function addUpCommand(yargs: Argv): Argv {
   return yargs.command(
     'up [folder]',
-    'stand-ins, routers and agents of a deployment in one process, with sample traffic',
+    'run a complete deployment in one process, with sample traffic',
     (command) =>
       command
         .positional('folder', {
           type: 'string',
           default: DEFAULT_EXAMPLE,
           defaultDescription: 'examples/guild',
-          describe: 'folder with deployment.yaml and templates.yaml',
+          describe: 'directory with deployment.yaml and templates.yaml',
         })
-        .option('once', { type: 'boolean', default: false, describe: 'end after the sample' })
-        .option('port', { type: 'number', describe: "port of the first agent's caller interface" })
-        .option('requests', { type: 'number', describe: 'requests of the sample' })
-        .option('seed', { type: 'number', default: 1, describe: 'seed of the sample' })
+        .option('once', {
+          type: 'boolean',
+          default: false,
+          describe: 'exit after the sample traffic',
+        })
+        .option('port', { type: 'number', describe: "port of the first agent's caller API" })
+        .option('requests', { type: 'number', describe: 'number of sample requests' })
+        .option('seed', { type: 'number', default: 1, describe: 'seed of the sample traffic' })
         .option('log-level', {
           type: 'string',
           choices: ['debug', 'info', 'warn', 'error', 'silent'] as const,
@@ -56,7 +60,7 @@
         await stop();
         process.exit(errors === 0 ? ExitCode.Success : ExitCode.Failure);
       }
-      print(`\nServing. Try:\n\n${curlLine(folder, deployment)}\n\nCtrl-C ends it.`);
+      print(`\nServing. Try:\n\n${curlLine(folder, deployment)}\n\nPress Ctrl-C to stop.`);
     },
   );
 }
@@ -70,7 +74,7 @@
   const { sample } = folder.deployment;
   const count = requests ?? sample.requests;
   const workload = new Workload(sample.callers.map(profileOf), new SeededRandom(seed));
-  print(`sample: ${count} requests, ${sample.concurrency} at a time ...`);
+  print(`sample: ${count} requests, ${sample.concurrency} concurrently ...`);
   const address = deployment.agents[0]?.callerApi.address ?? '';
   const measurements = await generateLoad(
     address,
--- a/src/cli/logs-commands.ts
+++ b/src/cli/logs-commands.ts
@@ -1,23 +1,23 @@
-/** `peatspan logs ...`: from a complaint to its cause, with nothing but the routers' logs. */
+/** `peatspan logs ...`: diagnoses requests from the logs of routers. */
 import type { Argv } from 'yargs';
 import { readLogs } from '../operator/log-reader.js';
 import { LogSummary } from '../operator/log-summary.js';
-import { RequestStory } from '../operator/request-story.js';
+import { RequestTimeline } from '../operator/request-story.js';
 
 const FILES = {
   type: 'string',
   array: true,
   default: [] as string[],
-  describe: 'log files, also .gz; standard input where none is given',
+  describe: 'log files, plain or .gz; standard input if none is given',
 } as const;
 
-/** Adds the commands that read logs. */
+/** Adds the `logs` commands. */
 export function addLogsCommands(yargs: Argv): Argv {
-  return yargs.command('logs', 'explain what logs of routers hold', (logs) =>
+  return yargs.command('logs', 'diagnose requests from the logs of routers', (logs) =>
     logs
       .command(
         'explain <request> [files..]',
-        "one request's story, with the beliefs that decided it and their age",
+        'show the log events of one request and the earlier state changes that affected it',
         (command) =>
           command
             .positional('request', { type: 'string', demandOption: true })
@@ -26,24 +26,24 @@
       )
       .command(
         'summary [files..]',
-        'how requests ended, by cause, and how long rejections took',
+        'count requests by outcome and show how long rejections took',
         (command) =>
           command.positional('files', FILES).option('by-second', {
             type: 'boolean',
             default: false,
-            describe: 'failures by second',
+            describe: 'also count failures per second',
           }),
         (argv) => summarize(argv.files, argv.bySecond),
       )
-      .demandCommand(1, 'name a logs command'),
+      .demandCommand(1, 'specify a logs command'),
   );
 }
 
 async function explain(request: string, files: readonly string[]): Promise<void> {
-  const story = new RequestStory(request);
-  for await (const line of readLogs(files)) story.add(line);
-  const lines = story.format();
-  if (lines.length === 0) throw new Error(`no line speaks of request ${request}`);
+  const timeline = new RequestTimeline(request);
+  for await (const line of readLogs(files)) timeline.add(line);
+  const lines = timeline.format();
+  if (lines.length === 0) throw new Error(`no log line mentions request ${request}`);
   print(lines);
 }
 
--- a/src/cli/options.ts
+++ b/src/cli/options.ts
@@ -1,4 +1,4 @@
-/** Options and exit codes that the commands share. */
+/** Options and exit codes shared by the commands. */
 import type { Argv } from 'yargs';
 
 /** Exit codes of all commands. */
@@ -6,21 +6,21 @@
   Success = 0,
   /** The command ran and failed. */
   Failure = 1,
-  /** Arguments or settings can't be used. */
+  /** Invalid arguments or settings. */
   Usage = 2,
-  /** An operator's write met a newer version. */
+  /** A write was rejected because the stored version is newer than expected. */
   Conflict = 3,
-  /** A write may have taken effect; nothing could tell. */
+  /** It could not be determined whether a write took effect. */
   Uncertain = 4,
 }
 
-/** Adds `--settings` and `--log-level`. */
+/** Adds the options `--settings` and `--log-level`. */
 export function withSettings<T>(yargs: Argv<T>) {
   return yargs
     .option('settings', { type: 'string', describe: 'settings file (YAML)' })
     .option('log-level', {
       type: 'string',
       choices: ['debug', 'info', 'warn', 'error', 'silent'],
-      describe: 'lowest level that is logged',
+      describe: 'minimum level of logged messages',
     });
 }
--- a/src/cli/template-commands.ts
+++ b/src/cli/template-commands.ts
@@ -1,4 +1,4 @@
-/** `peatspan template ...` and `peatspan set`: operators read and edit the configuration. */
+/** `peatspan template ...` and `peatspan set`: read and edit the routing configuration. */
 import { randomUUID } from 'node:crypto';
 import { stringify } from 'yaml';
 import type { Argv } from 'yargs';
@@ -19,7 +19,7 @@
 
 type Output = 'json' | 'yaml';
 
-function withStore<T>(yargs: Argv<T>) {
+function withStoreOptions<T>(yargs: Argv<T>) {
   return yargs
     .option('object-api', {
       type: 'string',
@@ -30,51 +30,59 @@
       alias: 'o',
       choices: ['json', 'yaml'] as const,
       default: 'yaml' as const,
-      describe: 'form of what is printed',
+      describe: 'output format',
     });
 }
 
-function withWrite<T>(yargs: Argv<T>) {
-  return withStore(yargs)
-    .option('expected-version', { type: 'number', describe: 'write only over this version' })
+function withWriteOptions<T>(yargs: Argv<T>) {
+  return withStoreOptions(yargs)
+    .option('expected-version', {
+      type: 'number',
+      describe: 'fail unless this is the stored version',
+    })
     .option('wait', {
       type: 'array',
       string: true,
-      describe: 'operations addresses of routers to wait for until the change is in force',
+      describe: 'wait until the change is in force on the routers at these operations addresses',
     });
 }
 
-/** Adds the operators' commands. */
+/** Adds the commands that read and edit the configuration. */
 export function addTemplateCommands(yargs: Argv): Argv {
   return yargs
     .command('template', 'read and edit the routing templates', (command) =>
-      addWriting(addReading(command)).demandCommand(1, 'name a template command'),
+      addWriteCommands(addReadCommands(command)).demandCommand(1, 'specify a template command'),
     )
     .command(
       'set <tenant> <assignment>',
-      'set one parameter of one tenant, as PARAMETER=VALUE',
+      'set a parameter of a tenant, given as PARAMETER=VALUE',
       (command) =>
-        withWrite(command)
+        withWriteOptions(command)
           .positional('tenant', { type: 'string', demandOption: true })
           .positional('assignment', { type: 'string', demandOption: true }),
       async (argv) => {
         const store = storeAt(argv.objectApi);
-        const present = await store.read();
-        if (!present.set) throw new SettingsError('object API', '', 'no valid configuration');
-        const verdict = setTenantParameter(present.set, argv.tenant, argv.assignment);
+        const current = await store.read();
+        if (!current.set)
+          throw new SettingsError(
+            'object API',
+            '',
+            'the stored configuration is missing or invalid',
+          );
+        const verdict = setTenantParameter(current.set, argv.tenant, argv.assignment);
         if (verdict.kind === 'invalid') {
           const [problem] = verdict.problems;
           throw new SettingsError('flags', problem?.path ?? '', problem?.message ?? '');
         }
-        const expected = argv.expectedVersion ?? present.version;
-        await write(store, verdict.set, expected, present, argv.wait);
+        const expected = argv.expectedVersion ?? current.version;
+        await write(store, verdict.set, expected, current, argv.wait);
       },
     );
 }
 
-function addReading(yargs: Argv): Argv {
+function addReadCommands(yargs: Argv): Argv {
   return yargs
-    .command('list', 'names of templates and tenants', withStore, async (argv) => {
+    .command('list', 'list the names of templates and tenants', withStoreOptions, async (argv) => {
       const { set, version } = await storeAt(argv.objectApi).read();
       const tenants = Object.entries(set?.tenants ?? {}).map(([name, { template }]) => ({
         tenant: name,
@@ -82,13 +90,13 @@
       }));
       print({ version, templates: Object.keys(set?.templates ?? {}), tenants }, argv.output);
     })
-    .command('get', 'the whole configuration', withStore, async (argv) => {
+    .command('get', 'print the complete configuration', withStoreOptions, async (argv) => {
       const { set } = await storeAt(argv.objectApi).read();
       print(set ?? {}, argv.output);
     })
     .command(
       'validate <file>',
-      'check a file without writing it',
+      'validate a file without writing it',
       (command) => command.positional('file', { type: 'string', demandOption: true }),
       (argv) => {
         readTemplates(argv.file);
@@ -97,29 +105,31 @@
     );
 }
 
-function addWriting(yargs: Argv): Argv {
+function addWriteCommands(yargs: Argv): Argv {
   return yargs
     .command(
       'diff <file>',
-      'what a file would change',
-      (command) => withStore(command).positional('file', { type: 'string', demandOption: true }),
+      'show what applying a file would change',
+      (command) =>
+        withStoreOptions(command).positional('file', { type: 'string', demandOption: true }),
       async (argv) => {
         const { set } = await storeAt(argv.objectApi).read();
         const differences = differencesBetween(set, readTemplates(argv.file));
-        process.stdout.write(differences.length === 0 ? 'no difference\n' : '');
+        process.stdout.write(differences.length === 0 ? 'no differences\n' : '');
         if (differences.length > 0) process.stdout.write(`${formatDifferences(differences)}\n`);
       },
     )
     .command(
       'apply <file>',
-      'write a file as the new configuration',
-      (command) => withWrite(command).positional('file', { type: 'string', demandOption: true }),
+      'replace the configuration with the contents of a file',
+      (command) =>
+        withWriteOptions(command).positional('file', { type: 'string', demandOption: true }),
       async (argv) => {
         const set = readTemplates(argv.file);
         const store = storeAt(argv.objectApi);
-        const present = await store.read();
-        const expected = argv.expectedVersion ?? present.version;
-        await write(store, set, expected, present, argv.wait);
+        const current = await store.read();
+        const expected = argv.expectedVersion ?? current.version;
+        await write(store, set, expected, current, argv.wait);
       },
     );
 }
@@ -132,25 +142,25 @@
   store: TemplateStore,
   set: TemplateSet,
   expectedVersion: number,
-  seen: StoredTemplates,
+  base: StoredTemplates,
   wait: readonly string[] | undefined,
 ): Promise<void> {
   const outcome = await store.write(set, expectedVersion, randomUUID());
-  report(outcome, set, seen);
+  reportOutcome(outcome, set, base);
   if (outcome.kind === 'written' && wait) await reportInForce(wait, outcome.version);
 }
 
-function report(outcome: WriteOutcome, set: TemplateSet, seen: StoredTemplates): void {
+function reportOutcome(outcome: WriteOutcome, set: TemplateSet, base: StoredTemplates): void {
   switch (outcome.kind) {
     case 'written':
       process.stdout.write(`written as version ${outcome.version}\n`);
       break;
     case 'conflict':
       process.stderr.write(
-        `conflict: version ${outcome.present.version} was written meanwhile\n` +
-          `theirs, against what you saw:\n` +
-          `${formatDifferences(differencesBetween(seen.set, outcome.present.set))}\n` +
-          `yours:\n${formatDifferences(differencesBetween(seen.set, set))}\n`,
+        `conflict: version ${outcome.present.version} has been written in the meantime\n` +
+          `their changes:\n` +
+          `${formatDifferences(differencesBetween(base.set, outcome.present.set))}\n` +
+          `your changes:\n${formatDifferences(differencesBetween(base.set, set))}\n`,
       );
       process.exitCode = ExitCode.Conflict;
       break;
@@ -162,7 +172,7 @@
 
 async function reportInForce(addresses: readonly string[], version: number): Promise<void> {
   const inForce = await waitUntilInForce(addresses, version, (done) =>
-    process.stderr.write(`in force at ${done} of ${addresses.length}\n`),
+    process.stderr.write(`in force on ${done} of ${addresses.length} routers\n`),
   );
   if (!inForce) process.exitCode = ExitCode.Failure;
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The `peatspan` command. */
+/** Entry point of the `peatspan` command line. */
 import { createRequire } from 'node:module';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -20,14 +20,14 @@
   .version(packageFile.version)
   .completion('completion', 'print a shell completion script')
   .strict()
-  .demandCommand(1, 'name a command')
+  .demandCommand(1, 'specify a command')
   .fail((message, error) => {
     if (error instanceof SettingsError) fail(error.message, ExitCode.Usage);
     if (error) fail(error.message, ExitCode.Failure);
     fail(`${message} (see --help)`, ExitCode.Usage);
   });
 
-// Each group of commands is loaded only where it is used: a daemon must not carry the laboratory.
+// Command groups are loaded on demand, so that daemons do not load the lab modules.
 const [group] = hideBin(process.argv);
 const isHelp = group === undefined || group.startsWith('-') || group === 'completion';
 const commands = addDaemonCommands(base);
--- a/src/operator/log-line.ts
+++ b/src/operator/log-line.ts
@@ -1,19 +1,19 @@
-/** One line of a router's log: `key=value` pairs, after whatever a collector put before them. */
+/** Parses log lines of routers: `key=value` pairs after an optional prefix from a log collector. */
 
-/** A line that holds an event. */
+/** A log line with an event. */
 export interface LogLine {
   readonly event: string;
-  /** Router that wrote it; empty where the line does not say. */
+  /** Router that wrote the line; empty if unspecified. */
   readonly node: string;
-  /** Wall clock of that router, in milliseconds; undefined where the line does not say. */
+  /** Wall-clock time of that router, in milliseconds; undefined if unspecified. */
   readonly timeMs: number | undefined;
-  /** All pairs, `event`, `node` and `time` among them. */
+  /** All pairs, including `event`, `node` and `time`. */
   readonly fields: ReadonlyMap<string, string>;
 }
 
 const PAIR = /(?:^|\s)(\w+)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
-/** The line's event; undefined where it holds none. */
+/** Parses a line; returns undefined if it has no event. */
 export function parseLogLine(text: string): LogLine | undefined {
   const fields = new Map<string, string>();
   for (const [, key = '', value = ''] of text.matchAll(PAIR)) fields.set(key, unquote(value));
@@ -30,6 +30,6 @@
 
 function unquote(value: string): string {
   if (!value.startsWith('"')) return value;
-  // The pattern takes a closed quotation with its escapes, as the logger wrote it with JSON.
+  // The pattern matches a complete quoted string, which the logger writes as JSON.
   return JSON.parse(value) as string;
 }
--- a/src/operator/log-reader.ts
+++ b/src/operator/log-reader.ts
@@ -1,4 +1,4 @@
-/** Reads log lines of several machines from files, plain or gzip, or from standard input. */
+/** Reads log lines from plain or gzip files, or from standard input. */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
@@ -8,7 +8,10 @@
 const GZIP_SUFFIX = '.gz';
 const STANDARD_INPUT = '-';
 
-/** All events of the files in turn; no files or `-`: standard input. Rejects where a file can't be read. */
+/**
+ * Yields the events of each file in order. Reads standard input for `-` or if no file is given;
+ * throws if a file can't be read.
+ */
 export async function* readLogs(files: readonly string[]): AsyncGenerator<LogLine> {
   const names = files.length > 0 ? files : [STANDARD_INPUT];
   for (const name of names) {
@@ -22,7 +25,7 @@
 async function open(name: string): Promise<Readable> {
   if (name === STANDARD_INPUT) return process.stdin;
   const file = createReadStream(name);
-  // A file that is not there shows before it is read.
+  // Reports a missing file before reading starts.
   await new Promise((resolve, reject) => {
     file.once('open', resolve);
     file.once('error', reject);
--- a/src/operator/log-summary.ts
+++ b/src/operator/log-summary.ts
@@ -1,9 +1,9 @@
-/** Counts how requests and sends ended in logs, by cause, and how long callers waited for a rejection. Pure. */
+/** Summarizes logs: outcomes of requests and sends by cause, and the time to a rejection. Pure. */
 import { type Histogram, build } from 'hdr-histogram-js';
 import type { LogLine } from './log-line.js';
 
-/** Counters by cause, the largest first when printed. */
-class Tally {
+/** Counts by cause, formatted in descending order. */
+class CauseCounter {
   private readonly counts = new Map<string, number>();
 
   add(cause: string): void {
@@ -21,15 +21,15 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 const NOT_RUN_STATUS = '503';
 
-/** The summary of all lines that were added. */
+/** Accumulates a summary of log lines. */
 export class LogSummary {
-  private readonly outcomes = new Tally();
-  private readonly failedSends = new Tally();
-  private readonly afterFailure = new Tally();
-  private readonly failuresBySecond = new Map<number, Tally>();
-  private readonly rejectedAfterMs = new Map<string, Histogram>();
-  /** Reason for which each request's last send failed. */
-  private readonly lastFailure = new Map<string, string>();
+  private readonly outcomes = new CauseCounter();
+  private readonly failedSends = new CauseCounter();
+  private readonly outcomesAfterFailure = new CauseCounter();
+  private readonly failuresBySecond = new Map<number, CauseCounter>();
+  private readonly rejectionDelaysMs = new Map<string, Histogram>();
+  /** Reason of the last failed send, by request. */
+  private readonly lastFailureReason = new Map<string, string>();
   private firstMs: number | undefined;
 
   add(line: LogLine): void {
@@ -38,22 +38,22 @@
     if (line.event === 'request_finished') this.addFinished(line);
   }
 
-  /** @param isBySecond whether failures are counted by second of the logs as well */
+  /** @param isBySecond whether to include failures per second of the logs */
   format(isBySecond: boolean): string[] {
     return [
       ...this.outcomes.format('Requests by outcome'),
       ...this.failedSends.format('Failed sends by cause'),
-      ...this.afterFailure.format('Requests with a failed send'),
-      'Time to a rejection that promises nothing ran, ms:',
-      ...[...this.rejectedAfterMs].map(([reason, histogram]) => formatWaits(reason, histogram)),
-      ...(isBySecond ? this.formatSeconds() : []),
+      ...this.outcomesAfterFailure.format('Requests with a failed send'),
+      'Time to a rejection of requests that did not run, ms:',
+      ...[...this.rejectionDelaysMs].map(([reason, histogram]) => formatDelays(reason, histogram)),
+      ...(isBySecond ? this.formatFailuresBySecond() : []),
     ];
   }
 
   private addFailedSend({ fields }: LogLine): void {
     const reason = fields.get('reason') ?? '';
     this.failedSends.add(`${fields.get('kind') ?? ''} ${reason}`);
-    this.lastFailure.set(fields.get('request') ?? '', reason);
+    this.lastFailureReason.set(fields.get('request') ?? '', reason);
   }
 
   private addFinished(line: LogLine): void {
@@ -61,40 +61,40 @@
     const outcome = fields.get('outcome') ?? '';
     const ownStatus = fields.get('own_status');
     const status = ownStatus ?? fields.get('answer_status');
-    const described = status === undefined ? outcome : `${outcome} (${status})`;
-    this.outcomes.add(described);
-    if (outcome !== 'answered') this.noteSecond(line, described);
-    if (ownStatus === NOT_RUN_STATUS) this.noteRejection(outcome, Number(fields.get('took_ms')));
+    const outcomeWithStatus = status === undefined ? outcome : `${outcome} (${status})`;
+    this.outcomes.add(outcomeWithStatus);
+    if (outcome !== 'answered') this.countFailure(line, outcomeWithStatus);
+    if (ownStatus === NOT_RUN_STATUS) this.recordRejection(outcome, Number(fields.get('took_ms')));
     const request = fields.get('request') ?? '';
-    const reason = this.lastFailure.get(request);
+    const reason = this.lastFailureReason.get(request);
     if (reason === undefined) return;
-    this.lastFailure.delete(request);
-    this.afterFailure.add(`after ${reason}, ${fields.get('sends') ?? '?'} sends: ${described}`);
+    this.lastFailureReason.delete(request);
+    this.outcomesAfterFailure.add(
+      `after ${reason}, ${fields.get('sends') ?? '?'} sends: ${outcomeWithStatus}`,
+    );
   }
 
-  private noteSecond({ timeMs }: LogLine, described: string): void {
+  private countFailure({ timeMs }: LogLine, outcomeWithStatus: string): void {
     if (timeMs === undefined || this.firstMs === undefined) return;
     const second = Math.floor((timeMs - this.firstMs) / MILLISECONDS_PER_SECOND);
-    const tally = this.failuresBySecond.get(second) ?? new Tally();
-    tally.add(described);
-    this.failuresBySecond.set(second, tally);
+    const counter = this.failuresBySecond.get(second) ?? new CauseCounter();
+    counter.add(outcomeWithStatus);
+    this.failuresBySecond.set(second, counter);
   }
 
-  private noteRejection(reason: string, tookMs: number): void {
-    const histogram = this.rejectedAfterMs.get(reason) ?? build();
+  private recordRejection(reason: string, tookMs: number): void {
+    const histogram = this.rejectionDelaysMs.get(reason) ?? build();
     histogram.recordValue(Math.max(0, tookMs));
-    this.rejectedAfterMs.set(reason, histogram);
+    this.rejectionDelaysMs.set(reason, histogram);
   }
 
-  private formatSeconds(): string[] {
+  private formatFailuresBySecond(): string[] {
     const seconds = [...this.failuresBySecond].sort(([left], [right]) => left - right);
-    return seconds.flatMap(([second, tally]) =>
-      tally.format(`Without an answer, second ${second}`),
-    );
+    return seconds.flatMap(([second, counter]) => counter.format(`Failures in second ${second}`));
   }
 }
 
-function formatWaits(reason: string, histogram: Histogram): string {
+function formatDelays(reason: string, histogram: Histogram): string {
   const [median, high, longest] = [50, 99, 100].map((each) => histogram.getValueAtPercentile(each));
-  return `  ${String(histogram.totalCount).padStart(7)}  ${reason}: p50 ${median}, p99 ${high}, most ${longest}`;
+  return `  ${String(histogram.totalCount).padStart(7)}  ${reason}: p50 ${median}, p99 ${high}, max ${longest}`;
 }
--- a/src/operator/template-difference.ts
+++ b/src/operator/template-difference.ts
@@ -1,8 +1,8 @@
-/** What differs between two configurations, entry by entry. */
+/** Compares two configurations, entry by entry. */
 import { splitTemplateSet } from '../state/template-sections.js';
 import type { TemplateSet } from '../state/template-set.js';
 
-/** One entry that differs; undefined where a side lacks it. */
+/** An entry that differs; a side is undefined if it lacks the entry. */
 export interface EntryDifference {
   /** `tenants/NAME`, `templates/NAME`, `models/NAME` or `services/NAME`. */
   readonly entry: string;
@@ -10,7 +10,7 @@
   readonly after: unknown;
 }
 
-/** All entries that differ, by name. */
+/** All entries that differ, sorted by name. */
 export function differencesBetween(
   before: TemplateSet | undefined,
   after: TemplateSet | undefined,
@@ -27,7 +27,7 @@
     }));
 }
 
-/** Lines for a screen, `-` before and `+` after. */
+/** Formats differences as text: `-` marks the old value and `+` the new one. */
 export function formatDifferences(differences: readonly EntryDifference[]): string {
   const lines: string[] = [];
   for (const { entry, before, after } of differences) {
--- a/src/operator/template-store.ts
+++ b/src/operator/template-store.ts
@@ -1,6 +1,6 @@
 /**
  * Reads and writes the configuration object for operators. Writes are compare-and-swap and carry an
- * operation identifier, so that a write whose answer was lost is found by reading back.
+ * operation identifier, so that a write whose response was lost can be verified by reading back.
  */
 import { z } from 'zod';
 import { type Clock, sleep } from '../runtime/clock.js';
@@ -9,7 +9,7 @@
 import type { ObjectApiPort } from '../protocol/object-api/port.js';
 import { type TemplateSet, checkTemplateSet } from '../state/template-set.js';
 
-const READ_BACK_TRIES = 5;
+const READ_BACK_ATTEMPTS = 5;
 const READ_BACK_PAUSE_MS = 400;
 
 const storedSchema = z.object({
@@ -17,22 +17,22 @@
   operation_id: z.string().default(''),
 });
 
-/** The configuration as stored; version 0 where there is none yet. */
+/** The stored configuration; version 0 if none has been written. */
 export interface StoredTemplates {
   readonly version: number;
   readonly set: TemplateSet | undefined;
   readonly operationId: string;
 }
 
-/** What a write came to. */
+/** Outcome of a write. */
 export type WriteOutcome =
   | { readonly kind: 'written'; readonly version: number }
-  /** Another operator's write came first; nothing was written. */
+  /** The stored version is not the expected one; nothing was written. */
   | { readonly kind: 'conflict'; readonly present: StoredTemplates }
-  /** The answer was lost and the store does not tell. */
+  /** The response was lost, and reading back did not show whether the write took effect. */
   | { readonly kind: 'uncertain'; readonly reason: string };
 
-/** The configuration object. */
+/** Access to the configuration object. */
 export class TemplateStore {
   constructor(
     private readonly objects: ObjectApiPort,
@@ -42,7 +42,7 @@
   async read(): Promise<StoredTemplates> {
     const object = await this.objects.read(TEMPLATES_OBJECT);
     if (!object) return { version: 0, set: undefined, operationId: '' };
-    const stored = storedSchema.safeParse(parseQuietly(object.content));
+    const stored = storedSchema.safeParse(parseJsonOrUndefined(object.content));
     const verdict = checkTemplateSet(stored.data?.configuration);
     return {
       version: object.version,
@@ -51,7 +51,7 @@
     };
   }
 
-  /** Writes over `expectedVersion`. */
+  /** Replaces the configuration if the stored version is `expectedVersion`. */
   async write(
     set: TemplateSet,
     expectedVersion: number,
@@ -62,35 +62,38 @@
       const version = await this.objects.write(TEMPLATES_OBJECT, content, expectedVersion);
       return { kind: 'written', version };
     } catch (error) {
-      return this.explain(error, expectedVersion, operationId);
+      return this.resolveOutcome(error, expectedVersion, operationId);
     }
   }
 
-  private async explain(
+  private async resolveOutcome(
     error: unknown,
     expectedVersion: number,
     operationId: string,
   ): Promise<WriteOutcome> {
     const cause = error instanceof ProtocolFailure ? error.error.kind : 'interrupted';
     if (cause === 'unreachable') throw error;
-    for (let tries = 0; tries < READ_BACK_TRIES; tries += 1) {
+    for (let attempt = 0; attempt < READ_BACK_ATTEMPTS; attempt += 1) {
       try {
-        const present = await this.read();
-        if (present.operationId === operationId) {
-          return { kind: 'written', version: present.version };
+        const current = await this.read();
+        if (current.operationId === operationId) {
+          return { kind: 'written', version: current.version };
         }
-        if (present.version !== expectedVersion) return { kind: 'conflict', present };
-        // Not there yet: the write may still be on its way, so that only time can tell.
+        if (current.version !== expectedVersion) return { kind: 'conflict', present: current };
+        // The write may still be in transit; read again after a pause.
       } catch {
-        // The store is out; try again.
+        // The store is unavailable; retry.
       }
       await sleep(this.clock, READ_BACK_PAUSE_MS);
     }
-    return { kind: 'uncertain', reason: 'the answer was lost and the write was not found' };
+    return {
+      kind: 'uncertain',
+      reason: 'the response was lost, and the write was not found by reading back',
+    };
   }
 }
 
-function parseQuietly(content: string): unknown {
+function parseJsonOrUndefined(content: string): unknown {
   try {
     return JSON.parse(content);
   } catch {
--- a/src/operator/tenant-parameter.ts
+++ b/src/operator/tenant-parameter.ts
@@ -1,8 +1,8 @@
-/** Sets one parameter of one tenant, as `peatspan set TENANT PARAMETER=VALUE` does. */
+/** Sets a parameter of a tenant, for `peatspan set TENANT PARAMETER=VALUE`. */
 import { parse } from 'yaml';
 import { type TemplateSet, type TemplateVerdict, checkTemplateSet } from '../state/template-set.js';
 
-/** The changed configuration, or what is wrong with the change. */
+/** Returns the changed configuration, or the problems found in it. */
 export function setTenantParameter(
   set: TemplateSet,
   tenant: string,
@@ -10,7 +10,7 @@
 ): TemplateVerdict {
   const separator = assignment.indexOf('=');
   if (separator < 1) return invalid(assignment, 'expected PARAMETER=VALUE');
-  if (!set.tenants[tenant]) return invalid(`tenants.${tenant}`, 'no such tenant');
+  if (!set.tenants[tenant]) return invalid(`tenants.${tenant}`, 'tenant does not exist');
   const name = assignment.slice(0, separator);
   const changed = structuredClone(set) as unknown as {
     tenants: Record<string, { parameters: Record<string, unknown> }>;
--- a/src/programs/agent-program.ts
+++ b/src/programs/agent-program.ts
@@ -5,25 +5,25 @@
 import type { Logger } from '../runtime/logger.js';
 import type { AgentProgramSettings } from '../settings/schemas.js';
 import { metricsOf, startOperationsServer } from '../telemetry/operations-server.js';
-import { createSurroundings } from './surroundings.js';
+import { createDaemonContainer } from './surroundings.js';
 
-/** Time the caller interface gets to write its last answers. */
-const LAST_ANSWERS_MS = 60_000;
+/** Time allowed for the caller API to finish running requests. */
+const DRAIN_TIMEOUT_MS = 60_000;
 
-/** A running daemon. */
+/** A running agent. */
 export interface RunningAgent {
   readonly node: AgentNode;
   readonly callerApi: CallerApi;
-  /** Takes no new request, answers what runs, closes. */
+  /** Stops accepting requests, finishes those that are running, then closes. */
   stop(): Promise<void>;
 }
 
-/** Starts an agent with its caller interface and operations port. */
+/** Starts an agent with its caller API and operations port. */
 export async function startAgent(
   settings: AgentProgramSettings,
   logger: Logger,
 ): Promise<RunningAgent> {
-  const container = await createSurroundings(logger);
+  const container = await createDaemonContainer(logger);
   const node = createAgent(container, {
     nodeId: settings.node.id,
     zone: settings.node.zone,
@@ -43,7 +43,7 @@
     node,
     callerApi,
     stop: async () => {
-      await callerApi.stop(LAST_ANSWERS_MS);
+      await callerApi.stop(DRAIN_TIMEOUT_MS);
       await node.stop();
       await operations.stop();
     },
--- a/src/programs/lab-up.ts
+++ b/src/programs/lab-up.ts
@@ -1,4 +1,4 @@
-/** Brings a whole deployment up in one process: stand-ins, routers, agents. */
+/** Starts a complete deployment in one process: simulated systems, routers and agents. */
 import path from 'node:path';
 import { BackendStore } from '../lab/backend/backend-core.js';
 import type { Machine } from '../protocol/machine-list/port.js';
@@ -25,22 +25,22 @@
 const LAB_CLUSTER_KEY = 'laboratory-cluster-key';
 const MAXIMUM_BACKEND_RUNNING = 64;
 const READY_POLL_MS = 20;
-const READY_LIMIT_MS = 15_000;
+const READY_TIMEOUT_MS = 15_000;
 
-/** A deployment folder, read and checked. */
+/** Validated contents of a deployment directory. */
 export interface DeploymentFolder {
   readonly deployment: Deployment;
   readonly templates: TemplateSet;
 }
 
-/** Reads `deployment.yaml` and `templates.yaml`; throws a `SettingsError`. */
+/** Reads `deployment.yaml` and `templates.yaml`; throws a `SettingsError` if one is invalid. */
 export function readDeployment(folder: string): DeploymentFolder {
   const deploymentFile = path.join(folder, 'deployment.yaml');
   const deployment = checkSettings(deploymentSchema, readYaml(deploymentFile), deploymentFile);
   return { deployment, templates: readTemplates(path.join(folder, 'templates.yaml')) };
 }
 
-/** Reads a templates file; throws a `SettingsError`. */
+/** Reads a templates file; throws a `SettingsError` if it is invalid. */
 export function readTemplates(file: string): TemplateSet {
   const verdict = checkTemplateSet(readYaml(file));
   if (verdict.kind === 'valid') return verdict.set;
@@ -48,7 +48,7 @@
   throw new SettingsError(file, problem?.path ?? '', problem?.message ?? 'malformed');
 }
 
-/** Everything that runs. */
+/** All components of a running deployment. */
 export interface RunningDeployment {
   readonly platform: RunningPlatform;
   readonly engines: readonly RunningEngine[];
@@ -60,13 +60,13 @@
 /** Options of {@link startDeployment}. */
 export interface DeploymentOptions {
   readonly logLevel: LogLevel;
-  /** Port of the first agent; its own from the file where undefined. */
+  /** Port of the first agent; undefined uses the port from the deployment file. */
   readonly agentPort: number | undefined;
-  /** True: every port is chosen by the system, as tests need. */
+  /** Whether the operating system chooses all ports, as tests need. */
   readonly anyPorts: boolean;
 }
 
-/** Starts all processes of a deployment inside this one and waits until they serve. */
+/** Starts all components of a deployment in this process and waits until they are ready. */
 export async function startDeployment(
   folder: DeploymentFolder,
   options: DeploymentOptions,
@@ -82,8 +82,8 @@
   for (const engine of deployment.engines) {
     const version = templates.models[engine.model]?.versions[engine.version];
     if (!version) {
-      const expectation = `no version "${engine.version}" of model "${engine.model}"`;
-      throw new SettingsError('deployment.yaml', `engines.${engine.id}`, expectation);
+      const message = `no version "${engine.version}" of model "${engine.model}"`;
+      throw new SettingsError('deployment.yaml', `engines.${engine.id}`, message);
     }
     const identity = {
       engineId: engine.id,
@@ -141,8 +141,8 @@
 ): Machine {
   const site = deployment.zones[entry.zone]?.site;
   if (site === undefined) {
-    const expectation = `no zone named "${entry.zone}"`;
-    throw new SettingsError('deployment.yaml', entry.id, expectation);
+    const message = `no zone named "${entry.zone}"`;
+    throw new SettingsError('deployment.yaml', entry.id, message);
   }
   return { id: entry.id, kind, address, zone: entry.zone, site, services, leaving: false };
 }
@@ -209,13 +209,14 @@
   routers: readonly RunningRouter[],
   agents: readonly RunningAgent[],
 ): Promise<void> {
-  const deadlineMs = performance.now() + READY_LIMIT_MS;
+  const deadlineMs = performance.now() + READY_TIMEOUT_MS;
   const isReady = (): boolean =>
     routers.every(({ node }) => node.isReady && node.workingRouters.length === routers.length) &&
     routers.every(({ node }) => node.knowsAllEngines) &&
     agents.every(({ node }) => node.isReady);
   while (!isReady()) {
-    if (performance.now() > deadlineMs) throw new Error('the deployment did not become ready');
+    if (performance.now() > deadlineMs)
+      throw new Error('the deployment did not become ready in time');
     await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS));
   }
 }
--- a/src/programs/lifecycle.ts
+++ b/src/programs/lifecycle.ts
@@ -1,10 +1,10 @@
-/** Signals of a daemon: the first stops it in order, a second one at once. */
+/** Signal handling of daemons: the first signal stops gracefully, the second exits immediately. */
 import type { Logger } from '../runtime/logger.js';
 
 const EXIT_STOPPED = 0;
 const EXIT_FORCED = 1;
 
-/** Runs `stop` on SIGTERM or SIGINT and exits 0; a second signal exits at once. */
+/** Runs `stop` on SIGTERM or SIGINT and exits with code 0; a second signal exits immediately. */
 export function stopOnSignal(logger: Logger, stop: () => Promise<void>): void {
   let stopping = false;
   const onSignal = (signal: NodeJS.Signals): void => {
--- a/src/programs/router-program.ts
+++ b/src/programs/router-program.ts
@@ -4,12 +4,12 @@
 import type { Logger } from '../runtime/logger.js';
 import type { RouterProgramSettings } from '../settings/schemas.js';
 import { type Metric, metricsOf, startOperationsServer } from '../telemetry/operations-server.js';
-import { addRouterPorts, createSurroundings } from './surroundings.js';
+import { addRouterPorts, createDaemonContainer } from './surroundings.js';
 
-/** A running daemon. */
+/** A running router. */
 export interface RunningRouter {
   readonly node: RouterNode;
-  /** Leaves the group, finishes what runs, closes. */
+  /** Leaves the group, finishes running requests, then closes. */
   stop(): Promise<void>;
 }
 
@@ -18,7 +18,7 @@
   settings: RouterProgramSettings,
   logger: Logger,
 ): Promise<RunningRouter> {
-  const container = await createSurroundings(logger);
+  const container = await createDaemonContainer(logger);
   addRouterPorts(container, settings.platform.object_api, settings.platform.machine_list);
   const node = createRouter(container, {
     nodeId: settings.node.id,
--- a/src/programs/sample-profile.ts
+++ b/src/programs/sample-profile.ts
@@ -1,8 +1,8 @@
-/** Turns the sample traffic of a deployment file into workload profiles. */
+/** Converts the sample traffic of a deployment file to workload profiles. */
 import type { CallerProfile } from '../lab/load/workload.js';
 import type { Deployment } from '../settings/schemas.js';
 
-/** One caller of the sample. */
+/** Workload profile of one sample caller. */
 export function profileOf(caller: Deployment['sample']['callers'][number]): CallerProfile {
   return {
     tenant: caller.tenant,
--- a/src/programs/stand-in-programs.ts
+++ b/src/programs/stand-in-programs.ts
@@ -1,4 +1,4 @@
-/** The stand-ins as programs: platform, engine, plain back end. */
+/** Starts the simulated platform, engines and plain back ends as servers. */
 import { BackendCore, BackendStore } from '../lab/backend/backend-core.js';
 import { startBackendFace } from '../lab/backend/http-face.js';
 import { EngineCore } from '../lab/engine/engine-core.js';
@@ -16,7 +16,7 @@
 import type { EngineBehaviour } from '../settings/schemas.js';
 import { TEMPLATES_OBJECT } from '../coordination/router/platform-reader.js';
 
-/** Identity of a stand-in engine. */
+/** Identity of a simulated engine. */
 export interface EngineIdentity {
   readonly engineId: string;
   readonly model: string;
@@ -24,7 +24,7 @@
   readonly adapterDigest: string;
 }
 
-/** Lays given behaviour over the defaults. */
+/** Settings of a simulated engine; unspecified behaviour has its default. */
 export function engineSettingsOf(
   identity: EngineIdentity,
   behaviour: EngineBehaviour,
@@ -46,13 +46,13 @@
   };
 }
 
-/** A running stand-in engine. */
+/** A running simulated engine. */
 export interface RunningEngine {
   readonly core: EngineCore;
   readonly server: StandInServer;
 }
 
-/** Starts a stand-in engine. Its incarnation is the time of its start in milliseconds. */
+/** Starts a simulated engine. Its incarnation is its start time in milliseconds. */
 export async function startEngine(
   settings: EngineModelSettings,
   address: string,
@@ -64,7 +64,7 @@
   return { core, server: await startEngineFace(core, clock, address) };
 }
 
-/** Starts a stand-in back end; machines of one service share a store where they share a process. */
+/** Starts a simulated back end. Back ends of a service in one process can share a store. */
 export function startBackend(
   backendId: string,
   workMs: number,
@@ -76,14 +76,14 @@
   return startBackendFace(core, address);
 }
 
-/** A running stand-in platform. */
+/** A running simulated platform. */
 export interface RunningPlatform {
   readonly store: ObjectStore;
   readonly machines: MachineRegistry;
   readonly server: StandInServer;
 }
 
-/** Starts the stand-in platform with a first configuration and machines. */
+/** Starts the simulated platform with an initial configuration and machine list. */
 export async function startPlatform(
   address: string,
   machineListLagMs: number,
--- a/src/programs/surroundings.ts
+++ b/src/programs/surroundings.ts
@@ -1,4 +1,4 @@
-/** The container of a daemon: system clock and randomness, real sockets, HTTP ports. */
+/** Dependency-injection containers of the daemons. */
 import 'reflect-metadata';
 import { type DependencyContainer, container as root } from 'tsyringe';
 import { SystemClock } from '../runtime/clock.js';
@@ -26,8 +26,8 @@
   OBJECT_API_PORT,
 } from '../coordination/router/tokens.js';
 
-/** What every daemon needs. */
-export async function createSurroundings(logger: Logger): Promise<DependencyContainer> {
+/** Creates a container with the dependencies of every daemon. */
+export async function createDaemonContainer(logger: Logger): Promise<DependencyContainer> {
   const container = root.createChildContainer();
   container.register(CLOCK, { useValue: new SystemClock() });
   container.register(RANDOM, { useValue: new SystemRandom() });
@@ -38,7 +38,7 @@
   return container;
 }
 
-/** Adds the outside systems that a router talks to. */
+/** Registers the clients for the external systems that a router uses. */
 export function addRouterPorts(
   container: DependencyContainer,
   objectApi: string,
