--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,7 +1,7 @@
 /**
  * Bundles the program that the platform starts. `target/router.cjs` is the program,
- * `target/router.cache` its compiled code, and `target/peatspan.cjs` starts it with that code, which
- * spares a fifth to a third of a start.
+ * `target/router.cache` its V8 code cache, and `target/peatspan.cjs` starts the program with that
+ * cache, which shortens the start.
  */
 import { spawnSync } from 'node:child_process';
 import { copyFileSync, existsSync, readFileSync, rmSync } from 'node:fs';
@@ -25,10 +25,10 @@
 });
 copyFileSync('scripts/start-from-code-cache.cjs', STARTER);
 rmSync(CODE_CACHE, { force: true });
-// Compiled code is only taken by a process with the same options of the engine.
+// V8 accepts a code cache only in a process with the same V8 options.
 const deployment = readFileSync('deploy/system.toml', 'utf8');
 const options = /^run = "node (.*) target\/peatspan\.cjs"$/m.exec(deployment)?.[1] ?? '';
-// Without settings the program ends right after it was loaded, and leaves the cache behind.
+// Without valid settings the program exits after loading, and the cache is written on exit.
 spawnSync(
   process.execPath,
   [...options.split(' ').filter(Boolean), STARTER, '--write-code-cache'],
@@ -37,4 +37,5 @@
     stdio: 'ignore',
   },
 );
-if (!existsSync(CODE_CACHE)) console.warn(`${CODE_CACHE} was not written; starts take longer`);
+if (!existsSync(CODE_CACHE))
+  console.warn(`${CODE_CACHE} was not written; the program will start more slowly`);
--- a/scripts/generated-hash.mjs
+++ b/scripts/generated-hash.mjs
@@ -1,6 +1,6 @@
 /**
- * Guards the committed protocol code: compares a hash over the .proto source and the generated
- * TypeScript with the committed one. `--write` records the hash after a generation.
+ * Checks that the generated protocol code matches its .proto sources, by comparing a hash of both
+ * with the committed one. `--write` records the hash after code generation.
  */
 import { createHash } from 'node:crypto';
 import { readFileSync, writeFileSync } from 'node:fs';
@@ -20,6 +20,8 @@
 if (process.argv.includes('--write')) {
   writeFileSync(HASH_FILE, `${actual}\n`);
 } else if (readFileSync(HASH_FILE, 'utf8').trim() !== actual) {
-  console.error('generated protocol code is not current: run `npm run generate` and commit');
+  console.error(
+    'generated protocol code is out of date: run `npm run generate` and commit the result',
+  );
   process.exit(1);
 }
--- a/scripts/known-red.mjs
+++ b/scripts/known-red.mjs
@@ -1,10 +1,11 @@
-// Prints the tests that are known to fail and checks that just these are marked `test.failing`.
-// KNOWN-RED.txt holds one line each: `TEST TITLE | cause | issue N`. Ava fails when such a test passes.
+// Prints the tests that are known to fail and checks that exactly these are marked `test.failing`.
+// KNOWN-RED.txt has one line per test: `TEST TITLE | cause | issue N`. Ava fails if such a test
+// passes.
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 
 const LIST = 'KNOWN-RED.txt';
-const MOST_ALLOWED = 3;
+const MAXIMUM_ENTRIES = 3;
 const MARKED_TEST = /test(?:\.serial)?\.failing\(\s*(['"`])(.+?)\1/g;
 
 /** @returns {string[]} titles of the tests marked as failing */
@@ -23,13 +24,17 @@
 const marked = new Set(markedTitles('test'));
 for (const line of listed) console.log(`known to fail: ${line}`);
 
-const faults = [
-  ...[...marked].filter((title) => !titles.has(title)).map((title) => `not listed: ${title}`),
-  ...[...titles].filter((title) => !marked.has(title)).map((title) => `no such test: ${title}`),
+const problems = [
+  ...[...marked]
+    .filter((title) => !titles.has(title))
+    .map((title) => `marked as failing, but not listed: ${title}`),
+  ...[...titles]
+    .filter((title) => !marked.has(title))
+    .map((title) => `listed, but not marked as failing: ${title}`),
   ...listed
     .filter((line) => line.split(' | ').length !== 3)
-    .map((line) => `not three parts: ${line}`),
-  ...(listed.length > MOST_ALLOWED ? [`more than ${MOST_ALLOWED} lines`] : []),
+    .map((line) => `expected \`TEST TITLE | cause | issue N\`: ${line}`),
+  ...(listed.length > MAXIMUM_ENTRIES ? [`more than ${MAXIMUM_ENTRIES} entries`] : []),
 ];
-for (const fault of faults) console.error(`${LIST}: ${fault}`);
-process.exitCode = faults.length > 0 ? 1 : 0;
+for (const problem of problems) console.error(`${LIST}: ${problem}`);
+process.exitCode = problems.length > 0 ? 1 : 0;
--- a/scripts/start-from-code-cache.cjs
+++ b/scripts/start-from-code-cache.cjs
@@ -1,6 +1,6 @@
 /**
- * Starts the bundled program beside this file with its compiled code from the build. Where there is no
- * such code, or another release of Node.js refuses it, the program is compiled as usual.
+ * Starts the bundled program in this directory with the V8 code cache from the build. Without a
+ * cache, or if this release of Node.js rejects it, the program is compiled as usual.
  */
 'use strict';
 const { readFileSync, writeFileSync } = require('node:fs');
@@ -8,14 +8,14 @@
 const path = require('node:path');
 const { Script } = require('node:vm');
 
-// A signal to read the settings again ends a process that has no handler; the program installs its own
-// only when it has started, and has read its settings a moment before.
+// Ignores SIGHUP until the program has installed its handler that reloads the settings; the default
+// action would end the process. The program reads its settings during the start.
 process.on('SIGHUP', () => {});
 
 const programFile = path.join(__dirname, 'router.cjs');
 const cacheFile = path.join(__dirname, 'router.cache');
 
-/** The compiled code of the build; undefined where there is none. */
+/** Reads the code cache; returns undefined if it does not exist. */
 function readCodeCache() {
   try {
     return readFileSync(cacheFile);
