--- a/src/coordination/agent/agent-call.ts
+++ b/src/coordination/agent/agent-call.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request at the agent: sends it to a router, keeps the position in the answer, and
- * takes it to another router when the first is lost.
+ * One caller's request at the agent: sends it to a router, tracks the position in the response, and
+ * fails over to another router when the connection is lost.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, Timer } from '../../runtime/clock.js';
@@ -28,19 +28,19 @@
 import type { LinkCallListener, RouterLink } from './router-link.js';
 import type { RouterLinks } from './router-links.js';
 
-/** Chunks a router may send ahead of the caller. */
+/** Chunks that a router may send before the caller consumes them. */
 export const INITIAL_CREDIT = 256;
-/** Credit is given back in portions, so that not every chunk costs a message the other way. */
-const CREDIT_PORTION = INITIAL_CREDIT / 4;
-/** Routers tried for one request at most. */
-const MAXIMUM_ROUTERS = 6;
-/** Time without any reachable router after which a request is given up. */
-const NO_ROUTER_LIMIT_MS = 3_000;
+/** Credit is granted in portions, to avoid one message per consumed chunk. */
+const CREDIT_GRANT_CHUNKS = INITIAL_CREDIT / 4;
+/** Maximum number of dispatches of one request to routers. */
+const MAXIMUM_ATTEMPTS = 6;
+/** A request fails after this time without a reachable router. */
+const NO_ROUTER_TIMEOUT_MS = 3_000;
 const NO_ROUTER_RETRY_MS = 1_000;
-/** Time beyond the deadline that the router's own last word may take. */
-const LAST_WORD_MS = 250;
+/** Time after the deadline in which the router's own response may still arrive. */
+const FINAL_RESPONSE_GRACE_MS = 250;
 
-/** What calls share at an agent. */
+/** Services that the calls of an agent share. */
 export interface AgentCallContext {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -48,23 +48,23 @@
   readonly links: RouterLinks;
 }
 
-/** A request at the agent. */
+/** A caller's request, from its acceptance to its response. */
 export class AgentCall implements LinkCallListener {
   private readonly ledger: RequestLedger;
   private readonly acceptedMs: number;
-  /** The same moment by the wall clock. */
-  private readonly acceptedAtMs: number;
+  /** Wall-clock time of `acceptedMs`. */
+  private readonly acceptedWallMs: number;
   private readonly deadlineAtMs: number;
   private readonly delivered: string[] = [];
-  private readonly tried = new Set<string>();
+  private readonly triedAddresses = new Set<string>();
   private readonly deadlineTimer: Timer;
   private position: EnginePosition | undefined;
   private attempt = 0;
   private link: RouterLink | undefined;
   private callNumber = 0;
-  /** Chunks taken by the caller for which no credit was given back yet. */
+  /** Chunks that the caller consumed and for which no credit was granted yet. */
   private consumedChunks = 0;
-  private withoutRouterSinceMs: number | undefined;
+  private noRouterSinceMs: number | undefined;
 
   constructor(
     private readonly request: CallerRequest,
@@ -74,29 +74,29 @@
   ) {
     this.ledger = new RequestLedger(request.keyed);
     this.acceptedMs = context.clock.now();
-    this.acceptedAtMs = context.clock.wallNow();
+    this.acceptedWallMs = context.clock.wallNow();
     this.deadlineAtMs = this.acceptedMs + request.deadlineMs;
-    this.deadlineTimer = context.clock.setTimer(request.deadlineMs + LAST_WORD_MS, () =>
-      this.failUnanswered('no answer before the deadline'),
+    this.deadlineTimer = context.clock.setTimer(request.deadlineMs + FINAL_RESPONSE_GRACE_MS, () =>
+      this.failWithoutResponse('no response before the deadline'),
     );
   }
 
-  /** Begins; the call ends through its sink. */
+  /** Starts the request; the result is delivered through the sink. */
   run(): void {
-    void this.nextAttempt();
+    void this.tryNextRouter();
   }
 
-  /** The caller took that many texts. */
+  /** The caller consumed this number of chunks. */
   consumed(chunks: number): void {
     this.consumedChunks += chunks;
-    if (this.consumedChunks < CREDIT_PORTION || !this.link) return;
+    if (this.consumedChunks < CREDIT_GRANT_CHUNKS || !this.link) return;
     const { callNumber, consumedChunks } = this;
     this.consumedChunks = 0;
     const value = create(GrantCreditSchema, { callNumber, chunks: consumedChunks });
     this.link.send({ case: 'grantCredit', value });
   }
 
-  /** The caller hung up. */
+  /** The caller closed its connection. */
   cancel(): void {
     if (this.ledger.isSettled) return;
     this.ledger.apply(RequestEvent.Fail);
@@ -111,13 +111,13 @@
         this.position = body.value.position;
         break;
       case 'callChunk':
-        this.takeChunk(body.value.sequence, body.value.texts);
+        this.handleChunk(body.value.sequence, body.value.texts);
         break;
       case 'callFinished':
-        this.takeFinished(body.value);
+        this.handleFinished(body.value);
         break;
       case 'callFailed':
-        this.takeFailed(body.value);
+        this.handleFailed(body.value);
         break;
     }
   }
@@ -130,15 +130,15 @@
       request_id: this.request.requestId,
       delivered: this.delivered.length,
     });
-    void this.nextAttempt();
+    void this.tryNextRouter();
   }
 
-  private async nextAttempt(): Promise<void> {
-    for (const address of this.context.links.rank(this.request.routeKey, this.tried)) {
+  private async tryNextRouter(): Promise<void> {
+    for (const address of this.context.links.rank(this.request.routeKey, this.triedAddresses)) {
       const link = await this.context.links.acquire(address);
       if (this.ledger.isSettled) return;
       if (!link) continue;
-      this.tried.add(address);
+      this.triedAddresses.add(address);
       this.send(link);
       return;
     }
@@ -147,32 +147,32 @@
 
   private waitForRouter(): void {
     const nowMs = this.context.clock.now();
-    this.withoutRouterSinceMs ??= nowMs;
-    if (nowMs - this.withoutRouterSinceMs >= NO_ROUTER_LIMIT_MS) {
-      this.failUnanswered('no router can be reached');
+    this.noRouterSinceMs ??= nowMs;
+    if (nowMs - this.noRouterSinceMs >= NO_ROUTER_TIMEOUT_MS) {
+      this.failWithoutResponse('no router is reachable');
       return;
     }
-    // Every router was tried once; the next round may find one restarted.
-    if (this.attempt < MAXIMUM_ROUTERS) this.tried.clear();
+    // Every router was tried once; allow all of them again, as one may have restarted.
+    if (this.attempt < MAXIMUM_ATTEMPTS) this.triedAddresses.clear();
     const delayMs = backoffDelayMs(this.context.random, this.attempt + 2);
     this.context.clock.setTimer(delayMs, () => {
-      if (!this.ledger.isSettled) void this.nextAttempt();
+      if (!this.ledger.isSettled) void this.tryNextRouter();
     });
   }
 
   private send(link: RouterLink): void {
-    this.withoutRouterSinceMs = undefined;
+    this.noRouterSinceMs = undefined;
     this.attempt += 1;
     this.link = link;
     this.callNumber = link.register(this);
-    // Each router starts with the full credit.
+    // Each router starts with the initial credit.
     this.consumedChunks = 0;
     const earlierUnproven = !this.ledger.notRunProven;
     this.ledger.apply(RequestEvent.Dispatch);
-    link.send({ case: 'startCall', value: this.startMessage(earlierUnproven) });
+    link.send({ case: 'startCall', value: this.createStartMessage(earlierUnproven) });
   }
 
-  private startMessage(earlierUnproven: boolean): StartCall {
+  private createStartMessage(earlierUnproven: boolean): StartCall {
     const { request } = this;
     const nowMs = this.context.clock.now();
     const isGeneration = request.kind === 'generation';
@@ -206,30 +206,31 @@
     return start;
   }
 
-  /** Wall clock time at which the identifier may first have been used. */
+  /** Earliest wall-clock time at which the request identifier may have been used. */
   private firstUseAtMs(): number {
     const oldestMs = this.request.keyed ? CLAIM_RETENTION_MS : 0;
-    return Math.floor(this.acceptedAtMs - oldestMs);
+    return Math.floor(this.acceptedWallMs - oldestMs);
   }
 
-  /** Passes on what is new; a gap means that the router's stream can't be trusted. */
-  private takeChunk(sequence: number, texts: readonly string[]): void {
+  /** Delivers new texts and skips duplicates. After a gap, the router's stream is abandoned. */
+  private handleChunk(sequence: number, texts: readonly string[]): void {
     if (sequence > this.delivered.length) {
-      this.leaveRouter('chunk out of order');
+      this.switchRouter('gap in the chunk sequence');
       return;
     }
-    const fresh = texts.slice(this.delivered.length - sequence);
-    if (fresh.length === 0) return;
+    const newTexts = texts.slice(this.delivered.length - sequence);
+    if (newTexts.length === 0) return;
     const first = this.delivered.length;
-    this.delivered.push(...fresh);
-    this.sink.onTexts(first, fresh);
+    this.delivered.push(...newTexts);
+    this.sink.onTexts(first, newTexts);
   }
 
-  private takeFinished(message: CallFinished): void {
+  private handleFinished(message: CallFinished): void {
     const { request } = this;
-    const isWhole = request.kind === 'operation' || message.totalChunks === this.delivered.length;
-    if (message.requestId !== request.requestId || !isWhole) {
-      this.leaveRouter('answer does not fit the request');
+    const isComplete =
+      request.kind === 'operation' || message.totalChunks === this.delivered.length;
+    if (message.requestId !== request.requestId || !isComplete) {
+      this.switchRouter('response does not match the request');
       return;
     }
     this.ledger.apply(RequestEvent.Finish);
@@ -241,32 +242,32 @@
     }
   }
 
-  private takeFailed(message: CallFailed): void {
+  private handleFailed(message: CallFailed): void {
     if (message.requestId !== this.request.requestId) {
-      this.leaveRouter('answer does not fit the request');
+      this.switchRouter('response does not match the request');
       return;
     }
     const failed = decodeFailure(message);
-    if (failed.failure.kind === 'try-another-router' && this.attempt < MAXIMUM_ROUTERS) {
-      this.leaveLink();
-      // This router did nothing with the request, whatever earlier ones may have done.
+    if (failed.failure.kind === 'try-another-router' && this.attempt < MAXIMUM_ATTEMPTS) {
+      this.releaseLink();
+      // This router did not run the request; earlier ones may have.
       this.ledger.apply(RequestEvent.RefuseNotRun);
-      void this.nextAttempt();
+      void this.tryNextRouter();
       return;
     }
-    // The router was told of unproven earlier attempts, so that its word covers them.
+    // `earlierUnproven` was sent with the call, so the failure also covers earlier attempts.
     this.fail(failed);
   }
 
-  private leaveRouter(reason: string): void {
+  private switchRouter(reason: string): void {
     this.context.logger.warn('answer_dropped', { request_id: this.request.requestId, reason });
     this.sendCancel();
-    this.leaveLink();
+    this.releaseLink();
     this.ledger.apply(RequestEvent.Lose);
-    void this.nextAttempt();
+    void this.tryNextRouter();
   }
 
-  private leaveLink(): void {
+  private releaseLink(): void {
     this.link?.unregister(this.callNumber);
     this.link = undefined;
   }
@@ -276,14 +277,14 @@
     this.link?.send({ case: 'cancelCall', value });
   }
 
-  private failUnanswered(message: string): void {
+  private failWithoutResponse(message: string): void {
     if (this.ledger.isSettled) return;
     this.sendCancel();
     const notRun = this.ledger.notRunProven;
-    this.fail({ failure: this.unansweredFailure(message, notRun), notRun });
+    this.fail({ failure: this.noResponseFailure(message, notRun), notRun });
   }
 
-  private unansweredFailure(message: string, notRun: boolean): CallFailure {
+  private noResponseFailure(message: string, notRun: boolean): CallFailure {
     if (!notRun && this.request.kind === 'operation' && !this.request.repeatable) {
       return { kind: 'outcome-unknown', message };
     }
@@ -299,7 +300,7 @@
 
   private end(result: string): void {
     this.deadlineTimer.cancel();
-    this.leaveLink();
+    this.releaseLink();
     this.context.logger.info('caller_answered', {
       request_id: this.request.requestId,
       tenant: this.request.tenant,
--- a/src/coordination/agent/agent-node.ts
+++ b/src/coordination/agent/agent-node.ts
@@ -1,4 +1,4 @@
-/** One agent: the callers' door, beside each caller. */
+/** The agent: a process beside each caller that forwards its requests to the routers. */
 import { inject, injectable } from 'tsyringe';
 import type { Clock } from '../../runtime/clock.js';
 import type { Hasher } from '../../runtime/hasher.js';
@@ -9,7 +9,7 @@
 import type { PeerBody } from '../../protocol/peer/peer-channel.js';
 import { chainSeed, prefixRoot } from '../../state/prefix-chain.js';
 import { Configuration, MACHINES_DOCUMENT, TEMPLATES_DOCUMENT } from '../shared/configuration.js';
-import { DocumentSpreader } from '../shared/document-spreader.js';
+import { DocumentReplicator } from '../shared/document-spreader.js';
 import { AgentCall } from './agent-call.js';
 import type { CallerHandle, CallerRequest, CallerSink } from './caller.js';
 import type { RouterLink } from './router-link.js';
@@ -27,15 +27,15 @@
   texts: number;
 }
 
-/** One agent node. */
+/** Accepts callers' requests and forwards them to routers. */
 @injectable()
 export class AgentNode {
   readonly configuration: Configuration;
   readonly statistics: AgentStatistics = { requests: 0, finished: 0, failed: 0, texts: 0 };
-  private readonly spreader = new DocumentSpreader([TEMPLATES_DOCUMENT, MACHINES_DOCUMENT]);
+  private readonly replicator = new DocumentReplicator([TEMPLATES_DOCUMENT, MACHINES_DOCUMENT]);
   private readonly links: RouterLinks;
   private readonly calls = new Set<AgentCall>();
-  private leaving = false;
+  private stopping = false;
   private onIdle: (() => void) | undefined;
 
   constructor(
@@ -48,18 +48,18 @@
   ) {
     this.configuration = new Configuration(logger);
     this.links = new RouterLinks(settings, frames, clock, hasher, logger, {
-      // The digest hands a restarted router the configuration even while the object API is down.
-      onOpen: (link) => this.spreader.sendDigest(link.channel),
+      // The digest lets a restarted router fetch the configuration while the object API is down.
+      onOpen: (link) => this.replicator.sendDigest(link.channel),
       onMessage: (link, body) => this.onMessage(link, body),
     });
-    this.spreader.onChange((name, document) => {
+    this.replicator.onChange((name, document) => {
       if (name === TEMPLATES_DOCUMENT) this.configuration.loadTemplates(document);
     });
   }
 
-  /** Serves callers: has a configuration. */
+  /** True while the agent has a configuration and isn't stopping. */
   get isReady(): boolean {
-    return !this.leaving && this.configuration.isReady;
+    return !this.stopping && this.configuration.isReady;
   }
 
   get runningCalls(): number {
@@ -75,9 +75,9 @@
     this.logger.info('agent_started');
   }
 
-  /** Planned stop: the edge takes no new requests by now; waits for the running ones. */
+  /** Graceful stop: waits for running requests. The edge accepts no new ones at this point. */
   async stop(): Promise<void> {
-    this.leaving = true;
+    this.stopping = true;
     if (this.calls.size > 0) {
       await new Promise<void>((resolve) => {
         this.onIdle = resolve;
@@ -87,25 +87,25 @@
     this.logger.info('agent_stopped');
   }
 
-  /** A new request identifier. */
+  /** Creates a random request identifier. */
   mintRequestId(): string {
     return randomIdentifier(this.random);
   }
 
-  /** Starts a request; the sink hears how it goes. */
+  /** Starts a request; the sink receives its response. */
   submit(request: CallerRequest, sink: CallerSink): CallerHandle {
     this.statistics.requests += 1;
     const { clock, random, logger, links } = this;
-    const counted = this.counting(sink);
-    const call = new AgentCall(request, counted, { clock, random, logger, links }, () =>
-      this.ended(call),
+    const countingSink = this.withStatistics(sink);
+    const call = new AgentCall(request, countingSink, { clock, random, logger, links }, () =>
+      this.onCallEnded(call),
     );
     this.calls.add(call);
     call.run();
     return call;
   }
 
-  /** Key by which a generation's home is found: the first mark of its chain. */
+  /** Key by which routers are ranked for a generation: the first mark of its prefix chain. */
   routeKeyOf(tenant: string, model: string, prompt: Uint8Array, requestId: string): bigint {
     const allowed = this.configuration.allowedModel(tenant, model);
     if (!allowed) return this.operationKeyOf(requestId);
@@ -115,16 +115,16 @@
       weightsDigest: allowed.version.weights_digest,
       adapterDigest: allowed.version.adapter_digest,
     });
-    // A prompt too short for a mark has no home; any router serves it as well.
+    // A prompt too short for a mark has no home router; it is spread by its identifier.
     return prefixRoot(this.hasher, seed, prompt) ?? this.operationKeyOf(requestId);
   }
 
-  /** Key that spreads operations over all routers. */
+  /** Key that distributes operations over all routers. */
   operationKeyOf(requestId: string): bigint {
     return this.hasher.hashText(requestId, 0n);
   }
 
-  private counting(sink: CallerSink): CallerSink {
+  private withStatistics(sink: CallerSink): CallerSink {
     const { statistics } = this;
     return {
       onTexts: (sequence, texts) => {
@@ -146,13 +146,13 @@
     };
   }
 
-  private ended(call: AgentCall): void {
+  private onCallEnded(call: AgentCall): void {
     this.calls.delete(call);
     if (this.calls.size === 0) this.onIdle?.();
   }
 
   private onMessage(link: RouterLink, body: PeerBody): void {
-    if (this.spreader.handle(link.channel, body)) return;
-    if (body.case === 'routerTable') this.links.takeTable(body.value);
+    if (this.replicator.handle(link.channel, body)) return;
+    if (body.case === 'routerTable') this.links.applyTable(body.value);
   }
 }
--- a/src/coordination/agent/caller.ts
+++ b/src/coordination/agent/caller.ts
@@ -1,4 +1,4 @@
-/** What the agent's edge asks for and how it is answered. */
+/** Requests that the agent's edge submits, and the interface that receives their responses. */
 import type { FailedCall } from '../errors.js';
 
 interface CommonRequest {
@@ -6,43 +6,49 @@
   readonly tenant: string;
   readonly deadlineMs: number;
   readonly priority: number;
-  /** True where the identifier comes from a caller's key, which may have been used elsewhere. */
+  /**
+   * True if the identifier is derived from a caller's idempotency key, which may have been sent to
+   * another agent before.
+   */
   readonly keyed: boolean;
   /** Key by which routers are ranked for the request. */
   readonly routeKey: bigint;
 }
 
-/** A generation asked for by a caller. */
+/** A caller's request for a generation. */
 export interface GenerationRequest extends CommonRequest {
   readonly kind: 'generation';
   readonly model: string;
-  /** UTF-8 bytes. */
+  /** UTF-8 text. */
   readonly prompt: Uint8Array;
   readonly maxTokens: number;
 }
 
-/** An operation of a plain service asked for by a caller. */
+/** A caller's request for an operation of a plain service. */
 export interface OperationRequest extends CommonRequest {
   readonly kind: 'operation';
   readonly service: string;
   readonly operation: string;
-  /** JSON text. */
+  /** JSON, as UTF-8 text. */
   readonly payload: Uint8Array;
   readonly repeatable: boolean;
 }
 
 export type CallerRequest = GenerationRequest | OperationRequest;
 
-/** Usage over a whole generation, in tokens. */
+/** Token usage of a whole generation. */
 export interface CallerUsage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly completionTokens: number;
 }
 
-/** Receives the answer. One of the last three comes once and last. */
+/** Receives a response. Exactly one of the last three methods is called, once, as the last call. */
 export interface CallerSink {
-  /** Texts of a stream; `sequence` counts over the whole request. Say `consumed` for each. */
+  /**
+   * Texts of a stream; `sequence` counts over the whole request. Each text must be acknowledged by
+   * `CallerHandle.consumed`.
+   */
   onTexts(sequence: number, texts: readonly string[]): void;
   onFinished(finishReason: string, usage: CallerUsage): void;
   onOutcome(status: number, body: Uint8Array): void;
@@ -51,8 +57,8 @@
 
 /** The caller's side of a running request. */
 export interface CallerHandle {
-  /** The caller took that many texts, and more may come. */
+  /** The caller consumed this number of texts, and more may be sent. */
   consumed(chunks: number): void;
-  /** The caller hung up. */
+  /** The caller closed its connection. */
   cancel(): void;
 }
--- a/src/coordination/agent/idempotency-keys.ts
+++ b/src/coordination/agent/idempotency-keys.ts
@@ -1,11 +1,11 @@
-/** Turns callers' idempotency keys into request identifiers. */
+/** Derives request identifiers from callers' idempotency keys. */
 import { createHash } from 'node:crypto';
 
 const IDENTIFIER_DIGITS = 32;
 
 /**
- * The identifier for a key. It depends on tenant, scope (what is asked for) and key alone, so that
- * any agent gives the same, and a key used for two things stands for two requests.
+ * Returns the identifier for a key. It depends only on tenant, scope (the requested operation) and
+ * key: every agent derives the same one, and a key used in two scopes identifies two requests.
  */
 export function identifierForKey(tenant: string, scope: string, key: string): string {
   return createHash('sha256')
--- a/src/coordination/agent/router-link.ts
+++ b/src/coordination/agent/router-link.ts
@@ -1,4 +1,4 @@
-/** One channel to a router: numbers the calls on it and notices when the router falls silent. */
+/** A channel to one router, which multiplexes calls and detects heartbeat timeouts. */
 import { create } from '@bufbuild/protobuf';
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
 import type { FrameConnection } from '../../transport/frame-transport.js';
@@ -10,17 +10,17 @@
 } from '../../protocol/peer/peer-channel.js';
 
 const PING_PERIOD_MS = 500;
-/** A router silent for so long is taken for lost, though its connection stands. */
-const SILENCE_LIMIT_MS = 2_500;
+/** A link is closed after this time without a message, even if its connection is open. */
+const HEARTBEAT_TIMEOUT_MS = 2_500;
 
-/** Receives what concerns one call. */
+/** Receives the messages of one call. */
 export interface LinkCallListener {
   onMessage(body: PeerBody): void;
-  /** The link was lost; what became of the call is not known. */
+  /** The link was lost; the outcome of the call is unknown. */
   onLost(): void;
 }
 
-/** What a link tells its owner. */
+/** Events of a link, for its owner. */
 export interface RouterLinkEvents {
   onOpen(link: RouterLink): void;
   /** A message that belongs to no call. */
@@ -28,13 +28,13 @@
   onClose(link: RouterLink): void;
 }
 
-/** A channel to one router. */
+/** A link to one router. */
 export class RouterLink {
   readonly channel: PeerChannel;
   private readonly calls = new Map<number, LinkCallListener>();
   private readonly heartbeat: Timer;
   private nextCallNumber = 1;
-  private heardMs: number;
+  private lastReceivedMs: number;
 
   constructor(
     readonly address: string,
@@ -43,20 +43,20 @@
     private readonly clock: Clock,
     private readonly events: RouterLinkEvents,
   ) {
-    this.heardMs = clock.now();
+    this.lastReceivedMs = clock.now();
     this.channel = new PeerChannel(connection, introduction, {
       onOpen: () => events.onOpen(this),
       onMessage: (_channel, body) => this.receive(body),
-      onClose: () => this.closed(),
+      onClose: () => this.handleClose(),
     });
-    this.heartbeat = repeat(clock, PING_PERIOD_MS, () => this.beat());
+    this.heartbeat = repeat(clock, PING_PERIOD_MS, () => this.checkHeartbeat());
   }
 
   get nodeId(): string {
     return this.channel.peerId;
   }
 
-  /** Registers a call; its messages carry the returned number. */
+  /** Registers a call and returns the call number that its messages carry. */
   register(listener: LinkCallListener): number {
     const callNumber = this.nextCallNumber;
     this.nextCallNumber += 1;
@@ -64,7 +64,7 @@
     return callNumber;
   }
 
-  /** Forgets a call; what still comes for it is dropped. */
+  /** Removes a call; later messages for it are dropped. */
   unregister(callNumber: number): void {
     this.calls.delete(callNumber);
   }
@@ -74,18 +74,18 @@
   }
 
   private receive(body: PeerBody): void {
-    this.heardMs = this.clock.now();
+    this.lastReceivedMs = this.clock.now();
     const callNumber = callNumberOf(body);
     if (callNumber === undefined) this.events.onMessage(this, body);
     else this.calls.get(callNumber)?.onMessage(body);
   }
 
-  private beat(): void {
-    if (this.clock.now() - this.heardMs > SILENCE_LIMIT_MS) this.channel.destroy();
+  private checkHeartbeat(): void {
+    if (this.clock.now() - this.lastReceivedMs > HEARTBEAT_TIMEOUT_MS) this.channel.destroy();
     else if (this.channel.isOpen) this.send({ case: 'ping', value: create(PingSchema) });
   }
 
-  private closed(): void {
+  private handleClose(): void {
     this.heartbeat.cancel();
     const lost = [...this.calls.values()];
     this.calls.clear();
--- a/src/coordination/agent/router-links.ts
+++ b/src/coordination/agent/router-links.ts
@@ -1,4 +1,4 @@
-/** The routers an agent knows, and its links to them, opened when first needed. */
+/** The routers known to an agent and the links to them, which are opened on demand. */
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
 import type { Hasher } from '../../runtime/hasher.js';
 import type { Logger } from '../../runtime/logger.js';
@@ -9,13 +9,13 @@
 import { RouterLink, type RouterLinkEvents } from './router-link.js';
 import type { AgentSettings } from './settings.js';
 
-/** Links kept open for configuration even without calls. */
-const STANDING_LINKS = 2;
-const UPKEEP_PERIOD_MS = 500;
-/** A router that could not be reached is not tried again for so long, while others are there. */
-const AVOID_MS = 1_000;
+/** Number of links kept open without calls, to receive configuration updates. */
+const MINIMUM_LINKS = 2;
+const MAINTENANCE_PERIOD_MS = 500;
+/** After a failure, a router is ranked behind all others for this time. */
+const RECONNECT_COOLDOWN_MS = 1_000;
 
-/** A router as the agent knows it. */
+/** An entry of the router table. */
 export interface KnownRouter {
   readonly nodeId: string;
   readonly address: string;
@@ -23,19 +23,19 @@
   readonly leaving: boolean;
 }
 
-/** What the links tell the agent. */
+/** Events of the links, for the agent. */
 export interface RouterLinksEvents {
   onOpen(link: RouterLink): void;
   onMessage(link: RouterLink, body: PeerBody): void;
 }
 
-/** All links of one agent. */
+/** The links of one agent. */
 export class RouterLinks implements RouterLinkEvents {
   private readonly links = new Map<string, RouterLink>();
   private readonly opening = new Map<string, Promise<RouterLink | undefined>>();
-  private readonly avoidedUntilMs = new Map<string, number>();
+  private readonly cooldownUntilMs = new Map<string, number>();
   private table: KnownRouter[] = [];
-  private upkeep: Timer | undefined;
+  private maintenanceTimer: Timer | undefined;
   private stopped = false;
 
   constructor(
@@ -48,13 +48,13 @@
   ) {}
 
   start(): void {
-    this.keepStanding();
-    this.upkeep = repeat(this.clock, UPKEEP_PERIOD_MS, () => this.keepStanding());
+    this.maintainLinks();
+    this.maintenanceTimer = repeat(this.clock, MAINTENANCE_PERIOD_MS, () => this.maintainLinks());
   }
 
   stop(): void {
     this.stopped = true;
-    this.upkeep?.cancel();
+    this.maintenanceTimer?.cancel();
     for (const link of [...this.links.values()]) link.channel.close();
   }
 
@@ -62,7 +62,10 @@
     return this.links.size;
   }
 
-  /** Addresses to try for a key, best first: home, then the others by rank; avoided ones last. */
+  /**
+   * Returns addresses for a key by descending preference: the home router, then the others by rank;
+   * routers in cooldown last.
+   */
   rank(key: bigint, tried: ReadonlySet<string>): string[] {
     const usable = this.table.filter((router) => !router.leaving && !tried.has(router.address));
     const addressOf = new Map(usable.map((router) => [router.nodeId, router.address]));
@@ -71,17 +74,18 @@
     const seeds = this.table.length === 0 ? this.settings.routers : [];
     const all = [...addresses, ...seeds.filter((address) => !tried.has(address))];
     const nowMs = this.clock.now();
-    const isAvoided = (address: string): boolean => (this.avoidedUntilMs.get(address) ?? 0) > nowMs;
+    const isCoolingDown = (address: string): boolean =>
+      (this.cooldownUntilMs.get(address) ?? 0) > nowMs;
     return [
-      ...all.filter((address) => !isAvoided(address)),
-      ...all.filter((address) => isAvoided(address)),
+      ...all.filter((address) => !isCoolingDown(address)),
+      ...all.filter((address) => isCoolingDown(address)),
     ];
   }
 
-  /** An open link to an address; undefined where it can't be reached. */
+  /** Returns an open link to an address, or undefined if the router is unreachable. */
   async acquire(address: string): Promise<RouterLink | undefined> {
-    const present = this.links.get(address);
-    if (present?.channel.isOpen) return present;
+    const existing = this.links.get(address);
+    if (existing?.channel.isOpen) return existing;
     let opening = this.opening.get(address);
     if (!opening) {
       opening = this.open(address);
@@ -91,8 +95,8 @@
     return opening;
   }
 
-  /** Takes over a router's view of the group. */
-  takeTable(message: RouterTable): void {
+  /** Replaces the router table by the one received from a router. */
+  applyTable(message: RouterTable): void {
     this.table = message.routers.map(({ nodeId, address, zone, leaving }) => ({
       nodeId,
       address,
@@ -111,7 +115,7 @@
 
   onClose(link: RouterLink): void {
     if (this.links.get(link.address) === link) this.links.delete(link.address);
-    this.avoid(link.address);
+    this.startCooldown(link.address);
   }
 
   private async open(address: string): Promise<RouterLink | undefined> {
@@ -121,16 +125,16 @@
         connection.destroy();
         return undefined;
       }
-      return await this.introduce(address, connection);
+      return await this.handshake(address, connection);
     } catch {
-      this.avoid(address);
+      this.startCooldown(address);
       this.logger.debug('router_unreachable', { address });
       return undefined;
     }
   }
 
-  /** Resolves when the router introduced itself, or with undefined when it hung up instead. */
-  private introduce(
+  /** Resolves on the router's hello message, or with undefined if the connection closes first. */
+  private handshake(
     address: string,
     connection: Awaited<ReturnType<FrameTransport['connect']>>,
   ): Promise<RouterLink | undefined> {
@@ -143,7 +147,7 @@
       const link = new RouterLink(address, connection, introduction, this.clock, {
         onOpen: (opened) => {
           this.links.set(address, opened);
-          this.avoidedUntilMs.delete(address);
+          this.cooldownUntilMs.delete(address);
           this.onOpen(opened);
           resolve(opened);
         },
@@ -157,18 +161,18 @@
     });
   }
 
-  private avoid(address: string): void {
-    this.avoidedUntilMs.set(address, this.clock.now() + AVOID_MS);
+  private startCooldown(address: string): void {
+    this.cooldownUntilMs.set(address, this.clock.now() + RECONNECT_COOLDOWN_MS);
   }
 
-  private keepStanding(): void {
-    if (this.stopped || this.links.size >= STANDING_LINKS) return;
+  private maintainLinks(): void {
+    if (this.stopped || this.links.size >= MINIMUM_LINKS) return;
     const known = this.table.filter((router) => !router.leaving).map((router) => router.address);
     const candidates = [...new Set([...known, ...this.settings.routers])];
     for (const address of candidates) {
-      if (this.links.size + this.opening.size >= STANDING_LINKS) return;
+      if (this.links.size + this.opening.size >= MINIMUM_LINKS) return;
       if (this.links.has(address) || this.opening.has(address)) continue;
-      if ((this.avoidedUntilMs.get(address) ?? 0) > this.clock.now()) continue;
+      if ((this.cooldownUntilMs.get(address) ?? 0) > this.clock.now()) continue;
       void this.acquire(address);
     }
   }
--- a/src/coordination/agent/settings.ts
+++ b/src/coordination/agent/settings.ts
@@ -1,11 +1,11 @@
-/** What an agent is told at its start. */
+/** Settings of an agent. */
 
-/** Settings of one agent. */
+/** Settings that an agent is started with. */
 export interface AgentSettings {
   readonly nodeId: string;
   readonly zone: string;
-  /** Peer addresses of some routers; the others are learned from them. */
+  /** Peer addresses of the initial routers; the others are learned from them. */
   readonly routers: readonly string[];
-  /** Longest time a request may take where the caller names none. */
+  /** Deadline of requests for which the caller sets none. */
   readonly defaultDeadlineMs: number;
 }
--- a/src/coordination/router/backend-table.ts
+++ b/src/coordination/router/backend-table.ts
@@ -1,19 +1,19 @@
-/** Plain back ends by service, with their breakers. */
+/** Plain back ends and their circuit breakers. */
 import { type RandomSource, randomElement } from '../../runtime/random.js';
 import type { Machine } from '../../protocol/machine-list/port.js';
 import { CircuitBreaker } from '../../state/circuit-breaker.js';
 
-/** A plain back end as the router sees it. */
+/** A back end and this router's circuit breaker for it. */
 export interface BackendRecord {
   machine: Machine;
   readonly breaker: CircuitBreaker;
 }
 
-/** The back ends of the machine list. */
+/** All plain back ends of the machine list. */
 export class BackendTable {
   private readonly records = new Map<string, BackendRecord>();
 
-  /** Takes over the machine list. */
+  /** Replaces the machine list; circuit breakers of remaining back ends are kept. */
   replaceMachines(machines: readonly Machine[]): void {
     const listed = new Set(machines.map((machine) => machine.id));
     for (const id of [...this.records.keys()]) if (!listed.has(id)) this.records.delete(id);
@@ -24,7 +24,10 @@
     }
   }
 
-  /** One that may take new work for the service, besides those excluded. */
+  /**
+   * Returns a random back end that accepts new requests for the service, preferably in the given
+   * zone, or undefined if there is none.
+   */
   pick(
     service: string,
     zone: string,
@@ -36,11 +39,11 @@
       if (machine.leaving || excluded.has(machine.id)) return false;
       return machine.services.includes(service) && breaker.mayPass(nowMs);
     });
-    const near = usable.filter(({ machine }) => machine.zone === zone);
-    return randomElement(random, near.length > 0 ? near : usable);
+    const sameZone = usable.filter(({ machine }) => machine.zone === zone);
+    return randomElement(random, sameZone.length > 0 ? sameZone : usable);
   }
 
-  /** Any that answers for the service, leaving ones among them, for lookups. */
+  /** Returns all back ends of the service, including leaving ones, for lookups. */
   all(service: string): BackendRecord[] {
     return [...this.records.values()].filter(({ machine }) => machine.services.includes(service));
   }
--- a/src/coordination/router/call-output.ts
+++ b/src/coordination/router/call-output.ts
@@ -1,4 +1,4 @@
-/** What a router tells the node that started a call. */
+/** Messages from a router to the agent that started a call. */
 import { create } from '@bufbuild/protobuf';
 import {
   CallChunkSchema,
@@ -11,7 +11,7 @@
 import type { FailedCall } from '../errors.js';
 import { encodeFailure } from '../shared/failure-codec.js';
 
-/** Where a generation runs. */
+/** Engine and request under which a generation runs. */
 export interface RunningPosition {
   readonly engineId: string;
   readonly incarnation: number;
@@ -20,14 +20,14 @@
   readonly baseSequence: number;
 }
 
-/** Usage over the whole request, in tokens. */
+/** Token usage of the whole request. */
 export interface RequestUsage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly completionTokens: number;
 }
 
-/** The way back of one call. */
+/** Sends the messages of one call to its agent. */
 export class CallOutput {
   constructor(
     private readonly channel: PeerChannel,
--- a/src/coordination/router/call-server.ts
+++ b/src/coordination/router/call-server.ts
@@ -1,4 +1,4 @@
-/** Takes calls from agents: checks them, admits them and hands messages to the running ones. */
+/** Validates and admits calls from agents, and dispatches messages to the running calls. */
 import type { StartCall } from '../../protocol/peer/generated/peer_pb.js';
 import { CallKind } from '../../protocol/peer/generated/peer_pb.js';
 import type { PeerBody, PeerChannel } from '../../protocol/peer/peer-channel.js';
@@ -14,7 +14,7 @@
 
 type Calls = Map<number, RouterCall>;
 
-/** All running calls of one router. */
+/** The running calls of one router. */
 export class CallServer {
   private readonly calls = new Map<PeerChannel, Calls>();
   private draining = false;
@@ -27,11 +27,11 @@
     return this.running;
   }
 
-  /** Handles the call messages of an agent; false for any other. */
+  /** Handles an agent's call messages; returns false for any other message. */
   handle(channel: PeerChannel, body: PeerBody): boolean {
     switch (body.case) {
       case 'startCall':
-        this.begin(channel, body.value);
+        this.startCall(channel, body.value);
         return true;
       case 'cancelCall':
         this.find(channel, body.value.callNumber)?.cancel();
@@ -44,14 +44,14 @@
     }
   }
 
-  /** The way to an agent is gone. */
+  /** Abandons the calls of a closed channel. */
   onClose(channel: PeerChannel): void {
     const calls = this.calls.get(channel);
     this.calls.delete(channel);
     for (const call of calls?.values() ?? []) call.abandon();
   }
 
-  /** Takes no new calls; resolves when the running ones have ended. */
+  /** Rejects new calls; resolves when the running ones have ended. */
   drain(): Promise<void> {
     this.draining = true;
     if (this.running === 0) return Promise.resolve();
@@ -64,33 +64,33 @@
     return this.calls.get(channel)?.get(callNumber);
   }
 
-  private begin(channel: PeerChannel, start: StartCall): void {
+  private startCall(channel: PeerChannel, start: StartCall): void {
     const output = new CallOutput(channel, start.callNumber, start.requestId);
     const parameters = this.context.configuration.parametersOf(start.tenant);
-    const refusal = this.refusalOf(start, parameters);
-    if (refusal) {
-      output.failed({ failure: refusal, notRun: !start.earlierUnproven });
+    const rejection = this.findRejection(start, parameters);
+    if (rejection) {
+      output.failed({ failure: rejection, notRun: !start.earlierUnproven });
     } else if (parameters) {
       this.admit(channel, start, parameters, output);
     }
   }
 
-  private refusalOf(
+  private findRejection(
     start: StartCall,
     parameters: TenantParameters | undefined,
   ): CallFailure | undefined {
-    if (this.draining) return { kind: 'try-another-router', message: 'this router leaves' };
+    if (this.draining) return { kind: 'try-another-router', message: 'the router is leaving' };
     const { configuration } = this.context;
-    if (!configuration.isReady || !configuration.hasMachines) {
-      return { kind: 'try-another-router', message: 'this router has no configuration yet' };
+    if (!configuration.isReady || !configuration.hasMachineList) {
+      return { kind: 'try-another-router', message: 'the router has no configuration yet' };
     }
     if (!parameters) return { kind: 'forbidden', message: 'unknown tenant' };
     return start.kind === CallKind.GENERATION
-      ? this.generationRefusal(start)
-      : this.operationRefusal(start);
+      ? this.findGenerationRejection(start)
+      : this.findOperationRejection(start);
   }
 
-  private generationRefusal(start: StartCall): CallFailure | undefined {
+  private findGenerationRejection(start: StartCall): CallFailure | undefined {
     const model = start.generation?.model ?? '';
     if (this.context.configuration.allowedModel(start.tenant, model)) return undefined;
     if (this.context.configuration.knowsModel(model)) {
@@ -99,7 +99,7 @@
     return { kind: 'invalid', message: `no model named "${model}"` };
   }
 
-  private operationRefusal(start: StartCall): CallFailure | undefined {
+  private findOperationRejection(start: StartCall): CallFailure | undefined {
     const { service = '', operation = '' } = start.operation ?? {};
     if (this.context.configuration.operation(start.tenant, service, operation)) return undefined;
     return { kind: 'invalid', message: `no operation "${service}/${operation}" for the tenant` };
@@ -112,7 +112,7 @@
     output: CallOutput,
   ): void {
     if (!this.context.admission.tryEnter(start.tenant, parameters.maximum_concurrent)) {
-      const message = 'the tenant has its most requests running';
+      const message = 'the tenant has reached its limit of concurrent requests';
       output.failed({
         failure: { kind: 'overloaded', message, retryAfterMs: OVERLOADED_RETRY_MS },
         notRun: !start.earlierUnproven,
@@ -124,7 +124,7 @@
     this.running += 1;
     const call = this.create(start, parameters, output, () => {
       calls.delete(start.callNumber);
-      this.ended(start.tenant);
+      this.onCallEnded(start.tenant);
     });
     calls.set(start.callNumber, call);
     call.run();
@@ -143,11 +143,11 @@
       return new OperationCall(start, policy, parameters, this.context, output, onEnded);
     }
     const allowed = configuration.allowedModel(start.tenant, start.generation?.model ?? '');
-    if (!allowed) throw new Error('call admitted without a model');
+    if (!allowed) throw new Error('admitted a generation call without an allowed model');
     return new GenerationCall(start, allowed, parameters, this.context, output, onEnded);
   }
 
-  private ended(tenant: string): void {
+  private onCallEnded(tenant: string): void {
     this.context.admission.leave(tenant);
     this.running -= 1;
     if (this.running === 0) this.onIdle?.();
--- a/src/coordination/router/call.ts
+++ b/src/coordination/router/call.ts
@@ -1,14 +1,14 @@
-/** What all calls of a router have in common. */
+/** Common interface of the calls at a router. */
 
-/** A request being served. */
+/** A running call. */
 export interface RouterCall {
-  /** The caller may take that many more chunks. */
+  /** The agent accepts this number of further chunks. */
   grantCredit(chunks: number): void;
-  /** The caller wants no answer any more. */
+  /** The caller no longer needs the response. */
   cancel(): void;
-  /** The way back to the caller's agent is gone; the agent may come through another router. */
+  /** The channel to the agent was closed; the agent may retry through another router. */
   abandon(): void;
 }
 
-/** Ends a call for its server: removes it and gives back its place. */
+/** Called at the end of a call, to remove it and release its admission. */
 export type CallEnded = () => void;
--- a/src/coordination/router/claim-service.ts
+++ b/src/coordination/router/claim-service.ts
@@ -1,6 +1,6 @@
 /**
- * Claims a request that may not be repeated at a majority of three routers in different zones, and
- * answers the claims of other routers from this router's own table.
+ * Claims non-repeatable requests at a majority of three routers in different zones, and decides
+ * the claims of other routers from the local claim table.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, Timer } from '../../runtime/clock.js';
@@ -25,45 +25,45 @@
 import type { MemberUpdate } from '../../state/membership.js';
 import { rankByRendezvous } from '../../state/rendezvous.js';
 
-/** Replicas of each claim. */
+/** Number of replicas of each claim. */
 const CLAIM_REPLICAS = 3;
 const MAJORITY = 2;
-/** Wait for the replicas' answers. */
+/** Maximum wait for the replicas' replies. */
 const CLAIM_TIMEOUT_MS = 600;
 
-/** What a claim came to. */
+/** Result of a claim. */
 export type ClaimResult =
-  /** This router, and no other, may dispatch. */
+  /** Only this claimant may dispatch the request. */
   | { readonly kind: 'granted' }
-  /** Another router may have dispatched. */
+  /** Another claimant may have dispatched the request. */
   | { readonly kind: 'held' }
   | { readonly kind: 'settled'; readonly outcome: RecordedOutcome }
-  /** No majority answered, or it can't tell. */
+  /** No majority replied, or replicas abstained. */
   | { readonly kind: 'no-majority' };
 
-/** What the service needs of its router. */
+/** The router group, as needed for claims. */
 export interface ClaimGroup {
-  /** All members, the dead of the last minutes among them, so that replica sets stay put. */
+  /** All members, including recently dead ones, so that replica sets stay stable. */
   members(): readonly MemberUpdate[];
-  /** False until a whole member table was seen: a part of it would name wrong replicas. */
+  /** False until a complete member table was received: a partial one gives wrong replicas. */
   isViewComplete(): boolean;
   send(nodeId: string, body: PeerBody): void;
 }
 
 interface Exchange {
   readonly verdicts: ClaimVerdict[];
-  /** Replicas still to answer. */
-  left: number;
+  /** Number of replicas that have not replied yet. */
+  pendingReplies: number;
   readonly resolve: (result: ClaimResult) => void;
   readonly timer: Timer;
 }
 
-/** Claims of one router, in both roles. */
+/** Claims of one router, both as claimant and as replica. */
 export class ClaimService {
   private readonly table: ClaimTable;
   private readonly exchanges = new Map<number, Exchange>();
   private nextExchange = 1;
-  private claimants = 0;
+  private claimantCount = 0;
 
   constructor(
     private readonly nodeId: string,
@@ -74,13 +74,13 @@
     this.table = new ClaimTable(clock.wallNow(), () => clock.wallNow());
   }
 
-  /** A claimant of its own for each claim, so that one router's two calls can't both be granted. */
+  /** Creates a unique claimant, so that two calls at the same router can't both be granted. */
   createClaimant(): string {
-    this.claimants += 1;
-    return `${this.nodeId}/${this.clock.now()}/${this.claimants}`;
+    this.claimantCount += 1;
+    return `${this.nodeId}/${this.clock.now()}/${this.claimantCount}`;
   }
 
-  /** Asks for the right to dispatch. */
+  /** Requests the exclusive right to dispatch a request. */
   claim(requestId: string, claimant: string, firstUse: FirstUse): Promise<ClaimResult> {
     if (!this.group.isViewComplete()) return Promise.resolve({ kind: 'no-majority' });
     const replicas = this.replicasOf(requestId);
@@ -95,17 +95,22 @@
     });
     return new Promise((resolve) => {
       const timer = this.clock.setTimer(CLAIM_TIMEOUT_MS, () => this.conclude(exchange));
-      this.exchanges.set(exchange, { verdicts: [], left: replicas.length, resolve, timer });
+      this.exchanges.set(exchange, {
+        verdicts: [],
+        pendingReplies: replicas.length,
+        resolve,
+        timer,
+      });
       for (const replica of replicas) {
-        if (replica === this.nodeId) this.collect(exchange, this.decide(value));
+        if (replica === this.nodeId) this.recordVerdict(exchange, this.decide(value));
         else this.group.send(replica, { case: 'claimRequest', value });
       }
     });
   }
 
-  /** Tells the replicas how a request ended. */
+  /** Sends the outcome of a request to the replicas. */
   recordOutcome(requestId: string, outcome: RecordedOutcome): void {
-    this.conclusion(
+    this.sendToReplicas(
       create(RecordOutcomeSchema, {
         requestId,
         outcome: create(RecordedOutcomeSchema, outcome),
@@ -113,35 +118,35 @@
     );
   }
 
-  /** Gives a claim back after it is proven that the request was not run. */
+  /** Releases a claim after it is proven that the request was not run. */
   release(requestId: string, claimant: string): void {
-    this.conclusion(create(RecordOutcomeSchema, { requestId, claimant }));
+    this.sendToReplicas(create(RecordOutcomeSchema, { requestId, claimant }));
   }
 
-  private conclusion(value: RecordOutcome): void {
+  private sendToReplicas(value: RecordOutcome): void {
     for (const replica of this.replicasOf(value.requestId)) {
-      if (replica === this.nodeId) this.record(value);
+      if (replica === this.nodeId) this.applyOutcome(value);
       else this.group.send(replica, { case: 'recordOutcome', value });
     }
   }
 
-  private record(message: RecordOutcome): void {
+  private applyOutcome(message: RecordOutcome): void {
     const { requestId, outcome, claimant } = message;
     if (outcome) this.table.recordOutcome(requestId, outcome, claimant);
     else this.table.release(requestId, claimant);
   }
 
-  /** Handles the three claim messages; false for any other. */
+  /** Handles the three claim messages; returns false for any other message. */
   handle(channel: PeerChannel, body: PeerBody): boolean {
     switch (body.case) {
       case 'claimRequest':
         channel.send({ case: 'claimReply', value: this.reply(body.value) });
         return true;
       case 'claimReply':
-        this.collect(body.value.exchange, verdictOf(body.value));
+        this.recordVerdict(body.value.exchange, verdictOf(body.value));
         return true;
       case 'recordOutcome':
-        this.record(body.value);
+        this.applyOutcome(body.value);
         return true;
       default:
         return false;
@@ -177,15 +182,15 @@
     }
   }
 
-  private collect(exchangeNumber: number, verdict: ClaimVerdict): void {
+  private recordVerdict(exchangeNumber: number, verdict: ClaimVerdict): void {
     const exchange = this.exchanges.get(exchangeNumber);
     if (!exchange) return;
     exchange.verdicts.push(verdict);
-    exchange.left -= 1;
+    exchange.pendingReplies -= 1;
     const { kind } = resultOf(exchange.verdicts);
-    // A single `held` may still be outvoted by a majority of grants.
+    // A majority of grants still overrides a single `held`.
     const decided = kind === 'granted' || kind === 'settled';
-    if (decided || exchange.left === 0) this.conclude(exchangeNumber);
+    if (decided || exchange.pendingReplies === 0) this.conclude(exchangeNumber);
   }
 
   private conclude(exchangeNumber: number): void {
@@ -196,7 +201,7 @@
     exchange.resolve(resultOf(exchange.verdicts));
   }
 
-  /** The first three of the request's order, in different zones as far as there are enough. */
+  /** The three highest-ranked routers for the request, in different zones if there are enough. */
   private replicasOf(requestId: string): string[] {
     const members = new Map(this.group.members().map((member) => [member.nodeId, member]));
     const key = this.hasher.hashText(requestId, 0n);
@@ -216,7 +221,7 @@
   }
 }
 
-/** A known outcome wins, then a majority of grants, then any word of another claimant. */
+/** Precedence: a recorded outcome, a majority of grants, any `held` verdict. */
 function resultOf(verdicts: readonly ClaimVerdict[]): ClaimResult {
   const settled = verdicts.find((verdict) => verdict.kind === 'settled');
   if (settled) return settled;
--- a/src/coordination/router/create-router.ts
+++ b/src/coordination/router/create-router.ts
@@ -1,4 +1,4 @@
-/** Builds a router from its settings and a container that holds its surroundings. */
+/** Creates a router from its settings and a dependency container. */
 import 'reflect-metadata';
 import type { DependencyContainer } from 'tsyringe';
 import { RouterNode } from './router-node.js';
@@ -6,16 +6,16 @@
 import { PROTECTIONS, ROUTER_SETTINGS } from './tokens.js';
 
 /**
- * The container must hold clock, randomness, hasher, logger, both transports and the ports of the
- * outside systems. Nothing of a router is shared, so that many live in one process.
+ * The container must provide the clock, random source, hasher, logger, both transports and the
+ * ports of the external systems. Routers share no state, so one process can run several.
  */
 export function createRouter(
   container: DependencyContainer,
   settings: RouterSettings,
   protections: Protections = ALL_PROTECTIONS,
 ): RouterNode {
-  const own = container.createChildContainer();
-  own.register(ROUTER_SETTINGS, { useValue: settings });
-  own.register(PROTECTIONS, { useValue: protections });
-  return own.resolve(RouterNode);
+  const childContainer = container.createChildContainer();
+  childContainer.register(ROUTER_SETTINGS, { useValue: settings });
+  childContainer.register(PROTECTIONS, { useValue: protections });
+  return childContainer.resolve(RouterNode);
 }
--- a/src/coordination/router/engine-feeds.ts
+++ b/src/coordination/router/engine-feeds.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the cache events and status of the engines this router owns, and tells the homes of the
- * prefixes what changed. Two owners for a moment are harmless: homes take the same news twice.
+ * Reads the cache events and status of the engines that this router owns and sends the changes to
+ * the home routers of the prefixes. Two temporary owners are harmless: updates are idempotent.
  */
 import { create } from '@bufbuild/protobuf';
 import { type Clock, sleep } from '../../runtime/clock.js';
@@ -14,31 +14,31 @@
 import type { EngineMachine } from '../../state/engine-table.js';
 import { EventFeed, type MarkChange } from '../../state/event-feed.js';
 
-/** Longest wait at the engine for new events; also the period of load reports. */
+/** Long-poll timeout for new events; also the period of load reports. */
 const EVENT_WAIT_MS = 250;
-/** Pause between two reads, in which events gather. */
+/** Pause between two reads, so that events are batched. */
 const BATCH_PAUSE_MS = 50;
 const FAILURE_PAUSE_MS = 250;
 const MARKS_PER_UPDATE = 500;
 
-/** Where a feed's news go. */
+/** Receives the changes read from the feeds. */
 export interface FeedOutput {
-  /** Home of a root now. */
+  /** Returns the current home router of a root. */
   homeOf(root: bigint): string;
-  /** No engine followed here keeps the root any more, as far as one feed tells. */
+  /** Called when an engine's feed removes the root's mark. */
   forgetRoot(root: bigint): void;
   sendUpdate(home: string, update: DirectoryUpdate): void;
   onStatus(status: EngineStatus): void;
-  /** The engine did not answer. */
+  /** A request to the engine failed. */
   onUnreachable(engineId: string): void;
 }
 
-/** Follows one engine until stopped. */
+/** Reads the feed of one engine until stopped. */
 class FeedReader {
   private feed = new EventFeed();
   private incarnation = 0;
   private nextSequence = 1;
-  private doubted = false;
+  private isStale = false;
   private load: EngineLoadReport | undefined;
   private stopped = false;
   private homes = new Set<string>();
@@ -74,7 +74,7 @@
     if (this.stopped) return;
     this.load = batch.status.load;
     if (batch.incarnation !== this.incarnation) {
-      this.begin(batch.incarnation);
+      this.startIncarnation(batch.incarnation);
     } else if (batch.events.length > 0 && batch.firstSequence !== this.nextSequence) {
       this.logger.info('feed_gap', {
         engine: this.engineId,
@@ -88,41 +88,41 @@
     this.output.onStatus(batch.status);
   }
 
-  /** A new incarnation keeps nothing of the one before. */
-  private begin(incarnation: number): void {
+  /** Resets the state: a new incarnation starts with an empty cache. */
+  private startIncarnation(incarnation: number): void {
     this.feed = new EventFeed();
     this.incarnation = incarnation;
     this.nextSequence = 1;
-    this.doubted = false;
+    this.isStale = false;
     this.homes.clear();
   }
 
-  /** Replaces what is known by the engine's snapshot and tells the difference. */
+  /** Replaces the state by the engine's snapshot and publishes the differences. */
   private async resynchronize(): Promise<void> {
-    this.doubt(true);
+    this.setStale(true);
     const snapshot = await this.port.snapshot(this.address);
     if (this.stopped || snapshot.incarnation !== this.incarnation) return;
     this.nextSequence = snapshot.nextSequence;
     this.publish(this.feed.replaceBy(snapshot.blocks));
-    this.doubt(false);
+    this.setStale(false);
   }
 
-  private doubt(doubted: boolean): void {
-    if (this.doubted === doubted) return;
-    this.doubted = doubted;
+  private setStale(stale: boolean): void {
+    if (this.isStale === stale) return;
+    this.isStale = stale;
     for (const home of this.homes) this.send(home, []);
   }
 
   private publish(changes: readonly (MarkChange | undefined)[]): void {
-    this.distribute(changes.filter((change) => change !== undefined));
+    this.sendToHomes(changes.filter((change) => change !== undefined));
   }
 
-  /** Tells the new homes of these roots all that is kept below them. */
+  /** Sends all cached prefixes below these roots to their new homes. */
   resend(roots: ReadonlySet<bigint>): void {
-    this.distribute([...this.feed.marks()].filter(({ root }) => roots.has(root)));
+    this.sendToHomes([...this.feed.marks()].filter(({ root }) => roots.has(root)));
   }
 
-  private distribute(changes: readonly MarkChange[]): void {
+  private sendToHomes(changes: readonly MarkChange[]): void {
     const byHome = new Map<string, MarkChange[]>();
     for (const change of changes) {
       const home = this.output.homeOf(change.root);
@@ -141,9 +141,9 @@
 
   private send(home: string, changes: readonly MarkChange[]): void {
     const marks = changes.map((change) => create(PrefixMarkSchema, change));
-    const { engineId, doubted } = this;
+    const { engineId, isStale: doubted } = this;
     const incarnation = BigInt(this.incarnation);
-    // The load rides along: homes hear of it as often as of the engine's prefixes.
+    // Each update also carries the engine's load.
     const waitingTokens = Math.round(this.load?.waitingTokens ?? 0);
     const requests = this.load?.requests ?? 0;
     const update = { engineId, incarnation, marks, doubted, waitingTokens, requests };
@@ -151,7 +151,7 @@
   }
 }
 
-/** The feeds of all engines owned by this router. */
+/** The feed readers of all engines owned by this router. */
 export class EngineFeeds {
   private readonly readers = new Map<string, { address: string; reader: FeedReader }>();
 
@@ -162,7 +162,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Follows exactly these engines from now on. */
+  /** Starts and stops readers so that exactly these engines are followed. */
   setOwned(machines: readonly EngineMachine[]): void {
     const wanted = new Map(machines.map((machine) => [machine.engineId, machine]));
     for (const [engineId, entry] of this.readers) {
@@ -173,7 +173,7 @@
     for (const machine of wanted.values()) this.follow(machine);
   }
 
-  /** Homes of these roots moved. */
+  /** Resends the prefixes below roots whose home changed. */
   resend(roots: ReadonlySet<bigint>): void {
     for (const { reader } of this.readers.values()) reader.resend(roots);
   }
--- a/src/coordination/router/engine-ownership.ts
+++ b/src/coordination/router/engine-ownership.ts
@@ -1,6 +1,7 @@
 /**
- * Which engines' feeds this router follows, what it tells the homes and what homes take in.
- * Ownership follows from the view of the group alone (rendezvous), since following twice is harmless.
+ * Decides which engines' feeds this router reads, sends updates to home routers and applies those
+ * that it receives. Owners are chosen by rendezvous hashing over the local view of the group,
+ * without coordination, as two readers of a feed are harmless.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '../../runtime/clock.js';
@@ -19,22 +20,22 @@
 import { RendezvousAssignment } from '../../state/rendezvous-assignment.js';
 import { EngineFeeds } from './engine-feeds.js';
 
-/** What ownership needs to know of the group. */
+/** The router group, as needed for ownership. */
 export interface OwnershipGroup {
   working(): string[];
   send(nodeId: string, body: PeerBody): void;
-  /** Passes a change of what an engine serves on to all routers. */
-  spread(report: WireReport): void;
+  /** Announces a change of an engine's served model or state to all routers. */
+  announceReport(report: WireReport): void;
 }
 
-/** Engine knowledge of one router. */
+/** Engine ownership and engine reports of one router. */
 export class EngineOwnership {
   private readonly feeds: EngineFeeds;
-  /** Identity last spread of each owned engine. */
-  private readonly told = new Map<string, string>();
-  /** Which router follows an engine's feed. */
+  /** Last announced state of each owned engine. */
+  private readonly announcedStates = new Map<string, string>();
+  /** Assigns each engine to the router that reads its feed. */
   private readonly owners: RendezvousAssignment<string>;
-  /** Which router is home of a prefix root. */
+  /** Assigns each prefix root to its home router. */
   private readonly homes: RendezvousAssignment<bigint>;
   private owned = new Set<string>();
   private machines: readonly Machine[] = [];
@@ -61,19 +62,21 @@
     this.feeds = new EngineFeeds(port, output, clock, logger);
   }
 
-  /** Takes over a machine list and divides the engines anew. */
+  /** Applies a machine list and reassigns the engines. */
   assign(machines: readonly Machine[]): void {
     const listed = new Set(machines.map((machine) => machine.id));
     for (const { id } of this.machines) if (!listed.has(id)) this.forgetEngine(id);
     this.machines = machines;
     const engines = machines.filter((machine) => machine.kind === 'engine').map(engineMachineOf);
     this.engines.replaceMachines(engines);
-    const mine = engines.filter((engine) => this.owners.ownerOf(engine.engineId) === this.nodeId);
-    this.owned = new Set(mine.map((engine) => engine.engineId));
-    this.feeds.setOwned(mine);
+    const ownedEngines = engines.filter(
+      (engine) => this.owners.ownerOf(engine.engineId) === this.nodeId,
+    );
+    this.owned = new Set(ownedEngines.map((engine) => engine.engineId));
+    this.feeds.setOwned(ownedEngines);
   }
 
-  /** Divides engines and roots again after a change of the group. */
+  /** Reassigns engines and roots after a change of the group. */
   refresh(): void {
     const working = this.group.working();
     this.owners.setCandidates(working);
@@ -86,28 +89,28 @@
     this.feeds.stop();
   }
 
-  /** Engines on the machine list of which nothing was heard yet. */
+  /** Whether the machine list has engines without a report. */
   get hasUnknownEngines(): boolean {
     for (const record of this.engines.all()) if (!record.report) return true;
     return false;
   }
 
-  /** All reports known, for a router that joins. */
+  /** All known reports, for a joining router. */
   reports(): WireReport[] {
     return [...this.engines.all()].flatMap(({ report }) => (report ? [reportToWire(report)] : []));
   }
 
-  /** Takes a report that came from elsewhere; answers whether it was news. */
-  takeReport(wire: WireReport): boolean {
+  /** Applies a received report; returns whether the served state of the engine changed. */
+  applyReport(wire: WireReport): boolean {
     const report = reportFromWire(wire);
     const before = this.engines.reportOf(report.engineId);
     if (!this.engines.putReport(report)) return false;
     this.directory.setIncarnation(report.engineId, report.incarnation);
-    return !before || identityOf(before) !== identityOf(report);
+    return !before || servedStateOf(before) !== servedStateOf(report);
   }
 
-  /** Takes news of prefixes this router is home of. */
-  takeUpdate(update: DirectoryUpdate): void {
+  /** Applies an update of prefixes whose home is this router. */
+  applyUpdate(update: DirectoryUpdate): void {
     const nowMs = this.clock.now();
     const incarnation = Number(update.incarnation);
     this.directory.setDoubted(update.engineId, update.doubted);
@@ -120,7 +123,7 @@
 
   private forgetEngine(engineId: string): void {
     this.owners.forget(engineId);
-    this.told.delete(engineId);
+    this.announcedStates.delete(engineId);
     this.directory.dropEngine(engineId);
   }
 
@@ -129,7 +132,7 @@
   }
 
   private sendUpdate(home: string, update: DirectoryUpdate): void {
-    if (home === this.nodeId) this.takeUpdate(update);
+    if (home === this.nodeId) this.applyUpdate(update);
     else this.group.send(home, { case: 'directoryUpdate', value: update });
   }
 
@@ -137,17 +140,17 @@
     this.engines.get(engineId)?.breaker.onFailure(this.clock.now());
   }
 
-  /** Spreads a change of what the engine serves to all routers. */
+  /** Announces the status of an owned engine to all routers if its served state changed. */
   private onStatus(status: EngineStatus): void {
     const { engineId, incarnation } = status;
     if (!this.owned.has(engineId)) return;
     const report = { ...status, observedAtMs: Math.floor(this.clock.wallNow()) };
     this.engines.putReport(report);
     this.directory.setIncarnation(engineId, incarnation);
-    const identity = identityOf(report);
-    if (this.told.get(engineId) === identity) return;
-    this.told.set(engineId, identity);
-    this.group.spread(reportToWire(report));
+    const servedState = servedStateOf(report);
+    if (this.announcedStates.get(engineId) === servedState) return;
+    this.announcedStates.set(engineId, servedState);
+    this.group.announceReport(reportToWire(report));
   }
 }
 
@@ -156,7 +159,7 @@
   return { engineId: id, address, zone, site, leaving };
 }
 
-function identityOf(status: EngineReport): string {
+function servedStateOf(status: EngineReport): string {
   const { incarnation, model, weightsDigest, adapterDigest, leaving } = status;
   return JSON.stringify([incarnation, model, weightsDigest, adapterDigest, leaving]);
 }
--- a/src/coordination/router/engine-selector.ts
+++ b/src/coordination/router/engine-selector.ts
@@ -1,4 +1,4 @@
-/** Brings template, directory and engine table together for one decision. */
+/** Selects engines by the tenant's parameters, the prefix directory and the engine table. */
 import type { Clock } from '../../runtime/clock.js';
 import type { RandomSource } from '../../runtime/random.js';
 import { type Candidate, type ChoiceRequest, chooseEngine } from '../../state/engine-choice.js';
@@ -8,7 +8,7 @@
 import { SiteShares } from '../../state/site-shares.js';
 import type { ModelVersion, TenantParameters } from '../../state/template-set.js';
 
-/** A generation to place. */
+/** Input of the engine selection for a generation. */
 export interface Placement {
   readonly tenant: string;
   readonly parameters: TenantParameters;
@@ -19,7 +19,7 @@
   readonly excluded: ReadonlySet<string>;
 }
 
-/** Chooses engines for one router. */
+/** Selects engines for the requests of one router. */
 export class EngineSelector {
   private readonly shares = new Map<string, SiteShares>();
 
@@ -31,22 +31,22 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** The engine for the request; undefined where none may take it. */
+  /** Returns the engine for the request, or undefined if none is available. */
   choose(placement: Placement): Candidate | undefined {
     const nowMs = this.clock.now();
     const { parameters } = placement;
-    const wanted = Object.entries(parameters.site_shares).filter(([, share]) => share > 0);
-    const open = this.sharesOf(placement.tenant).openSites(parameters.site_shares, nowMs);
-    // Where no engine of an open site can serve, any site with a share may: late beats never.
+    const positiveShares = Object.entries(parameters.site_shares).filter(([, share]) => share > 0);
+    const preferredSites = this.sharesOf(placement.tenant).openSites(parameters.site_shares, nowMs);
+    // If no open site has a usable engine, fall back to all sites with a positive share.
     const chosen =
-      this.chooseAt(placement, open, nowMs) ??
-      this.chooseAt(placement, new Set(wanted.map(([site]) => site)), nowMs);
-    if (chosen) this.noteSent(placement, chosen, nowMs);
+      this.chooseAt(placement, preferredSites, nowMs) ??
+      this.chooseAt(placement, new Set(positiveShares.map(([site]) => site)), nowMs);
+    if (chosen) this.recordDispatch(placement, chosen, nowMs);
     return chosen;
   }
 
-  /** Share of the tenant's recent work at each site. */
-  sharesMet(tenant: string): Map<string, number> {
+  /** Each site's share of the tenant's recent requests. */
+  recentShares(tenant: string): Map<string, number> {
     return this.sharesOf(tenant).met(this.clock.now());
   }
 
@@ -71,7 +71,7 @@
     return chooseEngine(this.engines, depths, request, this.random, nowMs)?.chosen;
   }
 
-  private noteSent(placement: Placement, chosen: Candidate, nowMs: number): void {
+  private recordDispatch(placement: Placement, chosen: Candidate, nowMs: number): void {
     const { machine, breaker } = chosen.record;
     breaker.onSent(nowMs);
     const promptTokens = tokensOfBytes(placement.promptBytes);
--- a/src/coordination/router/generation-call.ts
+++ b/src/coordination/router/generation-call.ts
@@ -1,6 +1,6 @@
 /**
- * Serves one generation: places it on an engine, relays its tokens, and takes it up elsewhere when
- * the engine or an earlier router is lost.
+ * Serves one generation: dispatches it to an engine, relays its tokens, and continues it elsewhere
+ * when the engine or an earlier router is lost.
  */
 import type { Timer } from '../../runtime/clock.js';
 import type {
@@ -29,27 +29,27 @@
 import type { CallEnded, RouterCall } from './call.js';
 import type { CallOutput } from './call-output.js';
 import type { RouterContext } from './router-context.js';
-import { FIRST_TOKEN_LIMIT_MS, STALL_LIMIT_MS, StallWatch } from './stall-watch.js';
+import { FIRST_TOKEN_TIMEOUT_MS, STALL_TIMEOUT_MS, StallDetector } from './stall-watch.js';
 import { TokenRelay } from './token-relay.js';
 
-/** Dispatches of one request at one router at most. */
+/** Maximum number of dispatches of one request by one router. */
 const MAXIMUM_ATTEMPTS = 4;
-/** When the caller should come again after a model had no engine. */
+/** Retry delay for the caller if no engine is available for the model. */
 const NO_ENGINE_RETRY_MS = 1_000;
-/** How long a broken stream waits for an engine to continue on. */
+/** Maximum wait of an interrupted stream for an engine that continues it. */
 const CONTINUATION_WAIT_MS = 3_000;
 const CONTINUATION_POLL_MS = 100;
 
-/** One attempt at one engine. Its listener goes deaf once it is given up. */
+/** One attempt at one engine. Events of an attempt that is no longer current are ignored. */
 interface Attempt {
   readonly record: EngineRecord;
   readonly baseSequence: number;
   readonly engineRequestId: string;
   stream: EngineStream | undefined;
-  answered: boolean;
+  hasResponse: boolean;
 }
 
-/** A generation at a router. */
+/** A generation call at a router. */
 export class GenerationCall implements RouterCall {
   private readonly ledger: RequestLedger;
   private readonly relay: TokenRelay;
@@ -61,9 +61,9 @@
   private attemptCount = 0;
   private finish: { reason: string; usage: EngineUsage } | undefined;
   private firstUsage: EngineStreamStart | undefined;
-  private continueUntilMs: number | undefined;
+  private continuationDeadlineMs: number | undefined;
   private timers = new Set<Timer>();
-  private readonly stallWatch: StallWatch;
+  private readonly stallDetector: StallDetector;
 
   constructor(
     private readonly start: StartCall,
@@ -76,7 +76,7 @@
     this.startedMs = context.clock.now();
     this.ledger = new RequestLedger(start.earlierUnproven);
     this.relay = new TokenRelay(output, this.generation.deliveredChunks, start.initialCredit);
-    this.stallWatch = new StallWatch(
+    this.stallDetector = new StallDetector(
       context.clock,
       () => this.relay.isFull || this.finish !== undefined,
     );
@@ -90,11 +90,11 @@
     this.marks = selectMarks(blocks);
   }
 
-  /** Begins; the call ends through its output. */
+  /** Starts the call; the result is sent through the output. */
   run(): void {
     this.context.statistics.requests += 1;
     this.context.retryBudgetOf(this.start.tenant).earn(this.parameters.retry_share);
-    this.after(this.start.deadlineMs, () => {
+    this.schedule(this.start.deadlineMs, () => {
       this.fail({ kind: 'deadline', message: 'the deadline has passed' });
     });
     if (!this.reattach()) this.dispatch();
@@ -122,11 +122,11 @@
 
   private get generation(): NonNullable<StartCall['generation']> {
     const { generation } = this.start;
-    if (!generation) throw new Error('start of a generation without its parameters');
+    if (!generation) throw new Error('generation call without generation parameters');
     return generation;
   }
 
-  /** Takes up the stream of an earlier attempt where its engine still runs. */
+  /** Resumes the stream of an earlier attempt if its engine was not restarted. */
   private reattach(): boolean {
     const position = this.generation.position;
     const record = position && this.context.engines.get(position.engineId);
@@ -158,7 +158,7 @@
       excluded: this.excluded,
     });
     if (!chosen) {
-      this.withoutEngine();
+      this.handleNoEngine();
       return;
     }
     this.attemptCount += 1;
@@ -195,10 +195,10 @@
     open: (listener: EngineStreamListener) => EngineStream,
   ): void {
     const stream = undefined;
-    const attempt: Attempt = { record, baseSequence, engineRequestId, stream, answered: false };
+    const attempt: Attempt = { record, baseSequence, engineRequestId, stream, hasResponse: false };
     this.attempt = attempt;
     this.ledger.apply(RequestEvent.Dispatch);
-    this.watchForStall(attempt, FIRST_TOKEN_LIMIT_MS);
+    this.startStallTimer(attempt, FIRST_TOKEN_TIMEOUT_MS);
     this.output.running({
       engineId: record.machine.engineId,
       incarnation: record.report?.incarnation ?? 0,
@@ -210,15 +210,15 @@
   }
 
   private listenerOf(attempt: Attempt): EngineStreamListener {
-    const whenCurrent = (action: () => void): void => {
+    const ifCurrent = (action: () => void): void => {
       if (this.attempt === attempt && !this.ledger.isSettled) action();
       else this.context.statistics.lateAnswers += 1;
     };
     return {
-      onStart: (start) => whenCurrent(() => this.onStart(attempt, start)),
-      onTokens: (offset, texts) => whenCurrent(() => this.onTokens(attempt, offset, texts)),
-      onEnd: (reason, usage) => whenCurrent(() => this.onEnd(reason, usage)),
-      onFailure: (failure) => whenCurrent(() => this.onFailure(attempt, failure)),
+      onStart: (start) => ifCurrent(() => this.onStart(attempt, start)),
+      onTokens: (offset, texts) => ifCurrent(() => this.onTokens(attempt, offset, texts)),
+      onEnd: (reason, usage) => ifCurrent(() => this.onEnd(reason, usage)),
+      onFailure: (failure) => ifCurrent(() => this.onFailure(attempt, failure)),
     };
   }
 
@@ -226,18 +226,18 @@
     const { record } = attempt;
     record.breaker.onSuccess();
     record.setLoad(start.load);
-    this.answering(attempt);
+    this.recordResponse(attempt);
     const { engineId } = record.machine;
-    const keptMarks = Math.floor(start.cachedTokens / MARK_TOKENS);
+    const cachedMarks = Math.floor(start.cachedTokens / MARK_TOKENS);
     const { directory, clock } = this.context;
-    directory.correct(engineId, this.marks, keptMarks);
+    directory.correct(engineId, this.marks, cachedMarks);
     directory.confirm(engineId, start.incarnation, this.marks, clock.now());
     this.firstUsage ??= start;
   }
 
-  /** An engine may hang with its connections open; only the lack of tokens shows it. */
-  private watchForStall(attempt: Attempt, limitMs: number): void {
-    this.stallWatch.expectWithin(limitMs, () => {
+  /** Detects an engine that hangs with open connections by the absence of tokens. */
+  private startStallTimer(attempt: Attempt, limitMs: number): void {
+    this.stallDetector.expectWithin(limitMs, () => {
       if (this.attempt !== attempt || this.ledger.isSettled) return;
       attempt.stream?.cancel();
       this.onFailure(attempt, { kind: 'interrupted', reason: 'engine stalled' });
@@ -245,19 +245,19 @@
   }
 
   private onTokens(attempt: Attempt, offset: number, texts: readonly string[]): void {
-    this.answering(attempt);
-    this.watchForStall(attempt, STALL_LIMIT_MS);
+    this.recordResponse(attempt);
+    this.startStallTimer(attempt, STALL_TIMEOUT_MS);
     this.context.statistics.chunks += texts.length;
-    if (!this.relay.take(attempt.baseSequence + offset, texts)) {
+    if (!this.relay.accept(attempt.baseSequence + offset, texts)) {
       this.onFailure(attempt, { kind: 'interrupted', reason: 'tokens missing' });
       return;
     }
     if (this.relay.isFull) attempt.stream?.pause();
   }
 
-  private answering(attempt: Attempt): void {
-    if (attempt.answered) return;
-    attempt.answered = true;
+  private recordResponse(attempt: Attempt): void {
+    if (attempt.hasResponse) return;
+    attempt.hasResponse = true;
     this.ledger.apply(RequestEvent.Answer);
   }
 
@@ -286,14 +286,14 @@
   private onFailure(attempt: Attempt, failure: EngineFailure): void {
     this.attempt = undefined;
     attempt.stream?.detach();
-    this.noteFailure(attempt, failure);
+    this.recordFailure(attempt, failure);
     this.ledger.apply(provesNotRun(failure) ? RequestEvent.RefuseNotRun : RequestEvent.Lose);
-    // A stream that can't be taken up starts anew at once; it is no further load on its engine.
+    // A stream that can't be resumed adds no load to its engine, so it needs no retry delay.
     if (failure.kind === 'not-found') this.dispatch();
     else this.retry(failure.reason);
   }
 
-  private noteFailure(attempt: Attempt, failure: EngineFailure): void {
+  private recordFailure(attempt: Attempt, failure: EngineFailure): void {
     const { record } = attempt;
     const { engineId } = record.machine;
     this.context.logger.info('attempt_failed', {
@@ -317,27 +317,27 @@
     this.context.statistics.retries += 1;
     if (this.relay.nextSequence > 0) this.context.statistics.continuations += 1;
     const delayMs = backoffDelayMs(this.context.random, this.attemptCount - 1);
-    this.after(delayMs, () => this.dispatch());
+    this.schedule(delayMs, () => this.dispatch());
   }
 
   private maySpendRetry(): boolean {
-    // A stream the caller has begun to read is worth more than the budget: it is bounded by attempts.
+    // A started stream may exceed the retry budget; its retries are limited by `MAXIMUM_ATTEMPTS`.
     if (this.relay.nextSequence > 0 || !this.context.protections.retryBudget) return true;
     return this.context.retryBudgetOf(this.start.tenant).trySpend();
   }
 
-  /** A stream in progress waits a little for an engine; a new request is answered at once. */
-  private withoutEngine(): void {
+  /** A started stream waits up to `CONTINUATION_WAIT_MS` for an engine; others fail at once. */
+  private handleNoEngine(): void {
     const nowMs = this.context.clock.now();
     if (this.relay.nextSequence > 0) {
-      this.continueUntilMs ??= nowMs + CONTINUATION_WAIT_MS;
+      this.continuationDeadlineMs ??= nowMs + CONTINUATION_WAIT_MS;
       this.excluded.clear();
-      if (nowMs < this.continueUntilMs) {
-        this.after(CONTINUATION_POLL_MS, () => this.dispatch());
+      if (nowMs < this.continuationDeadlineMs) {
+        this.schedule(CONTINUATION_POLL_MS, () => this.dispatch());
         return;
       }
     }
-    const message = `no engine can take model "${this.allowed.model}" now`;
+    const message = `no engine is available for model "${this.allowed.model}"`;
     this.fail({ kind: 'unavailable', message, retryAfterMs: NO_ENGINE_RETRY_MS });
   }
 
@@ -351,7 +351,7 @@
     this.end(failure.kind);
   }
 
-  private after(delayMs: number, callback: () => void): void {
+  private schedule(delayMs: number, callback: () => void): void {
     const timer = this.context.clock.setTimer(delayMs, () => {
       this.timers.delete(timer);
       callback();
@@ -361,7 +361,7 @@
 
   private end(result: string): void {
     this.attempt = undefined;
-    this.stallWatch.stop();
+    this.stallDetector.stop();
     for (const timer of this.timers) timer.cancel();
     this.timers.clear();
     this.context.logger.info('request_ended', {
--- a/src/coordination/router/gossip-service.ts
+++ b/src/coordination/router/gossip-service.ts
@@ -1,4 +1,4 @@
-/** Runs the membership state machine over datagrams and carries document revisions along. */
+/** Runs the membership protocol over datagrams, which also carry revisions and engine reports. */
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
 import type { RandomSource } from '../../runtime/random.js';
 import type { DatagramSocket, DatagramTransport } from '../../transport/datagram-transport.js';
@@ -23,34 +23,34 @@
 } from './member-codec.js';
 import type { RouterSettings } from './settings.js';
 
-/** How often the wait for a direct answer is checked. */
-const CHECK_PERIOD_MS = 100;
-/** Members told at once of a new revision. */
-const EAGER_FANOUT = 3;
-/** News of members and engines is announced at most this often. */
+/** Period of the check for direct probes that timed out. */
+const PROBE_CHECK_PERIOD_MS = 100;
+/** Number of members that receive an announcement directly. */
+const ANNOUNCE_FANOUT = 3;
+/** Minimum interval between announcements of members and engines. */
 const ANNOUNCE_PERIOD_MS = 150;
-/** Reports of engines in a datagram; with the members' updates it stays under 1,400 bytes. */
+/** Engine reports per datagram; together with member updates it stays below 1,400 bytes. */
 const ENGINES_PER_DATAGRAM = 4;
 
-/** What the service asks of and tells its router. */
+/** Callbacks of the gossip service, implemented by its router. */
 export interface GossipEvents {
-  /** Revisions to carry in each datagram. */
+  /** Returns the document revisions to include in each datagram. */
   revisions(): DocumentRevision[];
-  /** A member has these revisions. */
+  /** Received the document revisions of a member. */
   onRevisions(nodeId: string, revisions: readonly DocumentRevision[]): void;
-  /** News of engines came with a datagram. */
+  /** Received engine reports in a datagram. */
   onEngineReports(reports: readonly EngineReport[]): void;
-  /** The view of the group changed. */
+  /** The membership view changed. */
   onViewChange(): void;
 }
 
-/** Membership of one router. */
+/** Gossip membership of one router. */
 export class GossipService {
   private readonly timers: Timer[] = [];
-  private readonly engineNews = new RumorQueue<string, EngineReport>();
-  private seenVersion = -1;
+  private readonly engineReports = new RumorQueue<string, EngineReport>();
+  private notifiedVersion = -1;
   private stopped = false;
-  private isAnnouncing = false;
+  private isAnnouncementScheduled = false;
 
   private constructor(
     readonly membership: Membership,
@@ -60,7 +60,7 @@
     private readonly events: GossipEvents,
   ) {}
 
-  /** Binds the socket; call {@link start} next. */
+  /** Binds the socket. Call {@link start} to join the group. */
   static async open(
     settings: RouterSettings,
     peerAddress: string,
@@ -81,43 +81,46 @@
     return service;
   }
 
-  /** Joins and probes. `firstDelayMs`: a random share of a period, so that a herd is spread. */
+  /**
+   * Joins the group and starts probing. `firstDelayMs` is a random part of the period, so that
+   * routers that start together don't probe at the same time.
+   */
   start(firstDelayMs: number): void {
     this.tick();
     const first = this.clock.setTimer(firstDelayMs, () => {
       this.timers.push(repeat(this.clock, PROBE_PERIOD_MS, () => this.tick()));
     });
-    const check = repeat(this.clock, CHECK_PERIOD_MS, () =>
+    const check = repeat(this.clock, PROBE_CHECK_PERIOD_MS, () =>
       this.transmit(this.membership.checkDirectTimeout(this.clock.now())),
     );
     this.timers.push(first, check);
   }
 
-  /** Tells a few members at once that this node has a new revision; the rest hear from them. */
+  /** Announces a new revision to a few members, which gossip it to the others. */
   announceRevisions(): void {
-    this.transmit(this.membership.announce(EAGER_FANOUT));
+    this.transmit(this.membership.announce(ANNOUNCE_FANOUT));
   }
 
-  /** Passes news of an engine on with the next datagrams, some of which leave soon. */
-  spreadEngineReport(report: EngineReport): void {
-    this.engineNews.put(report.engineId, report, this.membership.spreadCount);
-    this.announceSoon();
+  /** Queues an engine report for the next datagrams and schedules an announcement. */
+  announceEngineReport(report: EngineReport): void {
+    this.engineReports.put(report.engineId, report, this.membership.spreadCount);
+    this.scheduleAnnouncement();
   }
 
-  /** A herd that comes up at once must not set off a datagram for each piece of news and node. */
-  private announceSoon(): void {
-    if (this.isAnnouncing || this.stopped) return;
-    this.isAnnouncing = true;
+  /** Batches changes, to avoid one datagram per change when many nodes start together. */
+  private scheduleAnnouncement(): void {
+    if (this.isAnnouncementScheduled || this.stopped) return;
+    this.isAnnouncementScheduled = true;
     this.clock.setTimer(ANNOUNCE_PERIOD_MS, () => {
-      this.isAnnouncing = false;
-      this.transmit(this.membership.announce(EAGER_FANOUT));
+      this.isAnnouncementScheduled = false;
+      this.transmit(this.membership.announce(ANNOUNCE_FANOUT));
     });
   }
 
-  /** Announces that this node leaves. */
+  /** Announces that this node is leaving. */
   leave(): void {
     this.transmit(this.membership.leave());
-    this.reportView();
+    this.notifyViewChange();
   }
 
   stop(): void {
@@ -126,15 +129,15 @@
     this.socket.close();
   }
 
-  /** Merges a whole table received over a channel. */
+  /** Merges a complete member table received over a channel. */
   mergeTable(updates: Parameters<Membership['mergeAll']>[0]): void {
     this.membership.mergeAll(updates, this.clock.now());
-    this.reportView();
+    this.notifyViewChange();
   }
 
   private tick(): void {
     this.transmit(this.membership.tick(this.clock.now()));
-    this.reportView();
+    this.notifyViewChange();
   }
 
   private receive(datagram: Uint8Array): void {
@@ -142,7 +145,7 @@
     const message = decoded && messageOf(decoded);
     if (!decoded || !message || this.stopped) return;
     this.transmit(this.membership.receive(message, this.clock.now()));
-    this.reportView();
+    this.notifyViewChange();
     if (decoded.engines.length > 0) this.events.onEngineReports(decoded.engines);
     this.events.onRevisions(decoded.sender, decoded.revisions);
   }
@@ -158,16 +161,16 @@
         subject: message.subject,
         updates: message.updates.map(encodeMemberUpdate),
         revisions,
-        engines: this.engineNews.take(ENGINES_PER_DATAGRAM),
+        engines: this.engineReports.take(ENGINES_PER_DATAGRAM),
       };
       this.socket.send(address, encodeGossip(contents, this.clusterKey));
     }
   }
 
-  private reportView(): void {
-    if (this.membership.version === this.seenVersion) return;
-    this.seenVersion = this.membership.version;
-    this.announceSoon();
+  private notifyViewChange(): void {
+    if (this.membership.version === this.notifiedVersion) return;
+    this.notifiedVersion = this.membership.version;
+    this.scheduleAnnouncement();
     this.events.onViewChange();
   }
 }
--- a/src/coordination/router/member-codec.ts
+++ b/src/coordination/router/member-codec.ts
@@ -1,4 +1,4 @@
-/** Maps membership statements to the internal protocol and back. */
+/** Encodes membership messages for the peer protocol and decodes them. */
 import { create } from '@bufbuild/protobuf';
 import {
   GossipKind as WireKind,
@@ -47,7 +47,7 @@
   });
 }
 
-/** A status this node does not know counts as suspect: the member must show itself. */
+/** Decodes a member update. An unknown status becomes suspect, which the member can refute. */
 export function decodeMemberUpdate(wire: WireUpdate): MemberUpdate {
   return {
     nodeId: wire.nodeId,
--- a/src/coordination/router/operation-call.ts
+++ b/src/coordination/router/operation-call.ts
@@ -1,6 +1,6 @@
 /**
- * Serves one operation of a plain service. A repeatable one is retried and may be hedged. One that
- * may not be repeated is claimed first, sent once, and afterwards only looked up.
+ * Serves one operation of a plain service. A repeatable operation is retried and may be hedged. A
+ * non-repeatable one is claimed, dispatched once, and then only looked up.
  */
 import { type Timer, sleep } from '../../runtime/clock.js';
 import {
@@ -21,21 +21,21 @@
 import type { RouterContext } from './router-context.js';
 
 const MAXIMUM_ATTEMPTS = 3;
-/** A hedged operation is sent a second time after this. */
+/** Delay of the second attempt of a hedged operation. */
 const HEDGE_AFTER_MS = 60;
 const UNAVAILABLE_RETRY_MS = 500;
 const LOOKUP_PERIOD_MS = 100;
-/** Time kept from the deadline for the answer to travel back. */
-const ANSWER_MARGIN_MS = 20;
+/** Part of the deadline that is reserved for the response's way back. */
+const RESPONSE_MARGIN_MS = 20;
 
-/** An operation at a router. */
+/** An operation call at a router. */
 export class OperationCall implements RouterCall {
   private readonly ledger: RequestLedger;
   private readonly deadlineAtMs: number;
   private readonly startedMs: number;
   private readonly excluded = new Set<string>();
   private deadlineTimer: Timer | undefined;
-  /** The first identifier is closed at the back end. */
+  /** Set once the first identifier is fenced at the back end. */
   private usesSecondIdentifier = false;
 
   constructor(
@@ -51,33 +51,33 @@
     this.ledger = new RequestLedger(start.earlierUnproven);
   }
 
-  /** Begins; the call ends through its output. */
+  /** Starts the call; the result is sent through the output. */
   run(): void {
     this.context.statistics.requests += 1;
     this.context.retryBudgetOf(this.start.tenant).earn(this.parameters.retry_share);
     this.deadlineTimer = this.context.clock.setTimer(this.start.deadlineMs, () =>
       this.failAtDeadline(),
     );
-    const served = this.policy.repeatable ? this.serveRepeatable() : this.serveOnce();
+    const served = this.policy.repeatable ? this.serveRepeatable() : this.serveNonRepeatable();
     served.catch((error: unknown) => {
       this.context.logger.error('operation_fault', {
         request_id: this.start.requestId,
         reason: String(error),
       });
-      this.fail({ kind: 'outcome-unknown', message: 'internal fault' });
+      this.fail({ kind: 'outcome-unknown', message: 'internal error' });
     });
   }
 
   grantCredit(): void {
-    // An operation has a single answer, which needs no credit.
+    // An operation has a single response, which needs no credit.
   }
 
   cancel(): void {
-    this.giveUp('cancelled');
+    this.endWithoutResponse('cancelled');
   }
 
   abandon(): void {
-    this.giveUp('abandoned');
+    this.endWithoutResponse('abandoned');
   }
 
   private async serveRepeatable(): Promise<void> {
@@ -85,7 +85,7 @@
       const result = await this.invokeHedged();
       if (this.ledger.isSettled) return;
       if (!result) {
-        this.failUnavailable('no back end can take it now');
+        this.failUnavailable('no back end is available');
         return;
       }
       if (result.kind === 'answered') {
@@ -101,7 +101,7 @@
     }
   }
 
-  /** One attempt, with a second one beside it where the first is slow. */
+  /** Runs one attempt, and a second one in parallel if the first is slow and hedging is on. */
   private invokeHedged(): Promise<InvocationResult | undefined> {
     const first = this.invoke();
     if (!this.policy.hedged || !first) return first ?? Promise.resolve(undefined);
@@ -122,7 +122,7 @@
     });
   }
 
-  private async serveOnce(): Promise<void> {
+  private async serveNonRepeatable(): Promise<void> {
     if (!this.context.protections.claims) {
       await this.dispatchOnce();
       return;
@@ -131,14 +131,14 @@
     const claimant = this.context.claims.createClaimant();
     const claim = await this.context.claims.claim(requestId, claimant, this.firstUse);
     if (this.ledger.isSettled) {
-      // Given up while asking, and so never sent: the identifier may be claimed by another.
+      // The call ended before the claim was granted and was never dispatched: release the claim.
       if (claim.kind === 'granted') this.context.claims.release(requestId, claimant);
       return;
     }
     switch (claim.kind) {
       case 'granted':
         this.ledger.apply(RequestEvent.Claim);
-        // Whoever claimed it before has given it back, which it may do only where nothing ran.
+        // An earlier claimant must have released its claim, which requires proof that nothing ran.
         this.ledger.proveEarlierNotRun();
         await this.dispatchOnce();
         if (this.ledger.notRunProven) this.context.claims.release(requestId, claimant);
@@ -147,18 +147,18 @@
         this.succeed(claim.outcome);
         return;
       case 'held':
-        await this.settleByLookup();
+        await this.resolveByLookup();
         return;
       case 'no-majority':
-        if (this.firstUse.proven) this.failUnavailable('no majority to claim the request at');
-        else await this.settleByLookup();
+        if (this.firstUse.proven) this.failUnavailable('no majority of replicas for the claim');
+        else await this.resolveByLookup();
     }
   }
 
-  /** Sends to back ends in turn as long as each proves that it ran nothing. */
+  /** Dispatches to back ends in turn, as long as each is proven not to have run the request. */
   private async dispatchOnce(): Promise<void> {
     for (let attempt = 1; attempt <= MAXIMUM_ATTEMPTS; attempt += 1) {
-      // A process that was paused must not act on a claim its caller has given up on.
+      // After a process pause, the deadline may have passed; the claim must not be used then.
       if (this.context.clock.now() >= this.deadlineAtMs) {
         this.failAtDeadline();
         return;
@@ -166,7 +166,7 @@
       const result = await this.invoke();
       if (this.ledger.isSettled) return;
       if (!result) {
-        this.failUnavailable('no back end can take it now');
+        this.failUnavailable('no back end is available');
         return;
       }
       if (result.kind === 'answered') {
@@ -175,24 +175,24 @@
         return;
       }
       if (result.kind === 'interrupted' || result.reason === FENCED_REASON) {
-        // Whoever closed the identifier may run the request under its second one.
+        // The router that fenced the identifier may run the request under its second one.
         if (result.kind !== 'interrupted') this.ledger.doubtEarlier();
-        await this.settleByLookup();
+        await this.resolveByLookup();
         return;
       }
       if (!this.maySpendRetry()) break;
       await sleep(this.context.clock, backoffDelayMs(this.context.random, attempt - 1));
     }
-    this.failUnavailable('the back ends refused it');
+    this.failUnavailable('the back ends refused the request');
   }
 
   /**
-   * Asks the back ends what became of the request. Asking closes an identifier that they never saw:
-   * it can't run any more. The one asker who is told so first may run the request under its second
-   * identifier, so that the back end decides between routers that know nothing of each other. Once
-   * the second is closed too, the request is proven not run for good.
+   * Looks up the outcome at the back ends. A lookup fences an identifier that the back end has not
+   * seen: a request with it is refused from then on. The router whose lookup fenced it first may
+   * run the request under its second identifier, so the back end arbitrates between uncoordinated
+   * routers. Once the second identifier is fenced too, the request can never run.
    */
-  private async settleByLookup(): Promise<void> {
+  private async resolveByLookup(): Promise<void> {
     const { requestId } = this.start;
     while (!this.ledger.isSettled) {
       for (const record of this.context.backends.all(this.service)) {
@@ -206,7 +206,7 @@
         }
         if (lookup.kind !== 'fenced') continue;
         if (this.usesSecondIdentifier) {
-          this.failClosed();
+          this.failFenced();
           return;
         }
         this.usesSecondIdentifier = true;
@@ -219,7 +219,7 @@
     }
   }
 
-  /** Identifier under which the back end knows the request now. */
+  /** Identifier that is currently used at the back end. */
   private get identifier(): string {
     const { requestId } = this.start;
     return this.usesSecondIdentifier ? requestId + SECOND_IDENTIFIER_SUFFIX : requestId;
@@ -233,7 +233,7 @@
     return this.start.operation?.service ?? '';
   }
 
-  /** Sends to one back end; undefined where none may take it. */
+  /** Dispatches to one back end; returns undefined if none is available. */
   private invoke(): Promise<InvocationResult> | undefined {
     const { clock, random, backends, statistics } = this.context;
     const nowMs = clock.now();
@@ -255,13 +255,13 @@
       service: this.service,
       operation: operation?.operation ?? '',
       payload: operation?.payload ?? new Uint8Array(),
-      timeoutMs: Math.max(1, this.deadlineAtMs - this.context.clock.now() - ANSWER_MARGIN_MS),
+      timeoutMs: Math.max(1, this.deadlineAtMs - this.context.clock.now() - RESPONSE_MARGIN_MS),
     });
-    this.noteResult(record, result);
+    this.recordResult(record, result);
     return result;
   }
 
-  private noteResult(record: BackendRecord, result: InvocationResult): void {
+  private recordResult(record: BackendRecord, result: InvocationResult): void {
     if (result.kind === 'answered') record.breaker.onSuccess();
     else {
       this.excluded.add(record.machine.id);
@@ -292,9 +292,9 @@
     this.fail({ kind: 'unavailable', message, retryAfterMs: UNAVAILABLE_RETRY_MS });
   }
 
-  /** The back end refuses both identifiers from now on, which proves that nothing has run or will. */
-  private failClosed(): void {
-    const message = 'the request was not run and its key is closed; send it anew under another key';
+  /** Both identifiers are fenced at the back end, so the request has not run and never will. */
+  private failFenced(): void {
+    const message = 'the request was not run and its key is closed; retry it with a new key';
     this.failWith({ kind: 'unavailable', message, retryAfterMs: UNAVAILABLE_RETRY_MS }, true);
   }
 
@@ -303,19 +303,19 @@
     if (this.ledger.notRunProven && this.ledger.state !== RequestState.Dispatched) {
       this.fail({ kind: 'deadline', message: 'the deadline has passed' });
     } else {
-      this.fail({ kind: 'outcome-unknown', message: 'no answer before the deadline' });
+      this.fail({ kind: 'outcome-unknown', message: 'no response before the deadline' });
     }
   }
 
   private fail(failure: CallFailure): void {
     if (this.ledger.isSettled) return;
     const proven = this.ledger.notRunProven;
-    // What may have run and may not be repeated must not look like a plain failure.
+    // A non-repeatable request that may have run must not be reported as safe to retry.
     const isUncertain = !proven && !this.policy.repeatable;
-    const told: CallFailure = isUncertain
+    const reported: CallFailure = isUncertain
       ? { kind: 'outcome-unknown', message: failure.message }
       : failure;
-    this.failWith(told, proven || !this.context.protections.proveNotRun);
+    this.failWith(reported, proven || !this.context.protections.proveNotRun);
   }
 
   private failWith(failure: CallFailure, notRun: boolean): void {
@@ -326,7 +326,7 @@
     this.end(failure.kind);
   }
 
-  private giveUp(result: string): void {
+  private endWithoutResponse(result: string): void {
     if (this.ledger.isSettled) return;
     this.ledger.apply(RequestEvent.Fail);
     this.end(result);
--- a/src/coordination/router/peer-pool.ts
+++ b/src/coordination/router/peer-pool.ts
@@ -1,4 +1,4 @@
-/** Channels between this router and all others, opened when first needed and kept. */
+/** Channels to other routers, which are opened on demand, and to the connected agents. */
 import type { Logger } from '../../runtime/logger.js';
 import type { FrameConnection, FrameTransport } from '../../transport/frame-transport.js';
 import { type Hello, NodeRole } from '../../protocol/peer/generated/peer_pb.js';
@@ -9,23 +9,23 @@
   type PeerChannelEvents,
 } from '../../protocol/peer/peer-channel.js';
 
-/** Messages kept for a peer while its channel opens. */
-const MAXIMUM_QUEUED = 256;
+/** Maximum number of messages queued per peer while its channel opens. */
+const MAXIMUM_QUEUED_MESSAGES = 256;
 
-/** What the pool needs to know of the group. */
+/** Address lookup for group members. */
 export interface PeerDirectory {
-  /** Peer address of a member; undefined where it is not known. */
+  /** Returns the peer address of a member, or undefined if it is unknown. */
   addressOf(nodeId: string): string | undefined;
 }
 
-/** What the pool reports upwards. */
+/** Events of the pool, for its router. */
 export interface PeerPoolEvents {
   onOpen(channel: PeerChannel, hello: Hello): void;
   onMessage(channel: PeerChannel, body: PeerBody): void;
   onClose(channel: PeerChannel): void;
 }
 
-/** All channels of one router. */
+/** The channels of one router. */
 export class PeerPool implements PeerChannelEvents {
   private readonly routers = new Map<string, PeerChannel>();
   private readonly agents = new Set<PeerChannel>();
@@ -41,17 +41,17 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Takes over a connection that another node opened. */
+  /** Creates a channel on a connection. */
   accept(connection: FrameConnection): void {
     this.channels.add(new PeerChannel(connection, this.introduction, this));
   }
 
-  /** Agents connected now. */
+  /** Channels of the connected agents. */
   agentChannels(): Iterable<PeerChannel> {
     return this.agents;
   }
 
-  /** Sends to a router, opening a channel where there is none. Lost where that fails. */
+  /** Sends a message to a router and opens a channel if needed. It is dropped if that fails. */
   send(nodeId: string, body: PeerBody): void {
     const channel = this.routers.get(nodeId);
     if (channel?.isOpen) {
@@ -62,17 +62,17 @@
     if (!queue) {
       this.pending.set(nodeId, [body]);
       void this.connect(nodeId);
-    } else if (queue.length < MAXIMUM_QUEUED) {
+    } else if (queue.length < MAXIMUM_QUEUED_MESSAGES) {
       queue.push(body);
     }
   }
 
-  /** Ends the channel to a router that the group holds for dead. */
-  drop(nodeId: string): void {
+  /** Closes the channel to a router that was declared dead. */
+  disconnect(nodeId: string): void {
     this.routers.get(nodeId)?.destroy();
   }
 
-  /** Ends all channels after what is queued was sent. */
+  /** Closes all channels after queued messages were sent. */
   close(): void {
     this.stopped = true;
     for (const channel of this.channels) channel.close();
@@ -80,7 +80,7 @@
 
   onOpen(channel: PeerChannel, hello: Hello): void {
     if (hello.role === NodeRole.AGENT) this.agents.add(channel);
-    else this.adopt(channel, hello.nodeId);
+    else this.registerRouter(channel, hello.nodeId);
     this.events.onOpen(channel, hello);
   }
 
@@ -95,9 +95,9 @@
     this.events.onClose(channel);
   }
 
-  private adopt(channel: PeerChannel, nodeId: string): void {
-    // Both sides may have connected at once; either channel works, and the newer one replaces a
-    // channel whose other end was restarted.
+  private registerRouter(channel: PeerChannel, nodeId: string): void {
+    // If both sides connect at the same time, either channel works. The newer one must replace the
+    // older, whose peer may have restarted.
     this.routers.set(nodeId, channel);
     const queue = this.pending.get(nodeId) ?? [];
     this.pending.delete(nodeId);
--- a/src/coordination/router/platform-reader.ts
+++ b/src/coordination/router/platform-reader.ts
@@ -1,6 +1,7 @@
 /**
- * Reads the object API and the machine list for a region and feeds the replicated documents.
- * Only the first routers of a region by rank read; reading twice is harmless, so no lease is needed.
+ * Reads the object API and the machine list for a region and updates the replicated documents.
+ * Only the first routers of a region by rank read. Concurrent readers are harmless, so no lease is
+ * needed.
  */
 import { type Clock, sleep } from '../../runtime/clock.js';
 import type { Logger } from '../../runtime/logger.js';
@@ -12,27 +13,27 @@
 import { splitTemplateSet } from '../../state/template-sections.js';
 import { checkTemplateSet } from '../../state/template-set.js';
 import { MACHINES_DOCUMENT, TEMPLATES_DOCUMENT } from '../shared/configuration.js';
-import type { DocumentSpreader } from '../shared/document-spreader.js';
+import type { DocumentReplicator } from '../shared/document-spreader.js';
 
-/** Object that holds models, services, templates and tenants. */
+/** Name of the object that contains models, services, templates and tenants. */
 export const TEMPLATES_OBJECT = 'templates';
 
-/** Readers a region. */
+/** Number of readers per region. */
 export const READERS_PER_REGION = 2;
 
 const WATCH_WAIT_MS = 10_000;
-/** How often a router that is no reader looks whether it has become one. */
-const IDLE_MS = 500;
+/** Period at which a router that is not a reader checks whether it has become one. */
+const READER_CHECK_PERIOD_MS = 500;
 
-/** One router's reading of the platform. */
+/** Reads the platform's object API and machine list for one router. */
 export class PlatformReader {
   private stopped = false;
 
   constructor(
     private readonly objects: ObjectApiPort,
     private readonly machines: MachineListPort,
-    private readonly spreader: DocumentSpreader,
-    /** Whether this router is one of its region's readers now. */
+    private readonly replicator: DocumentReplicator,
+    /** Whether this router is currently a reader of its region. */
     private readonly isReader: () => boolean,
     private readonly clock: Clock,
     private readonly random: RandomSource,
@@ -52,14 +53,14 @@
     let failures = 0;
     while (!this.stopped) {
       if (!this.isReader()) {
-        await sleep(this.clock, IDLE_MS);
+        await sleep(this.clock, READER_CHECK_PERIOD_MS);
         continue;
       }
       try {
         await read();
         failures = 0;
       } catch (error) {
-        // The platform may go first where everything is stopped at once.
+        // During a shutdown the platform may stop first; don't log that.
         if (this.stopped) return;
         if (failures === 0) this.logFailure(source, error);
         await sleep(this.clock, backoffDelayMs(this.random, failures) + 1);
@@ -74,7 +75,7 @@
   }
 
   private async readTemplates(): Promise<void> {
-    const document = this.spreader.document(TEMPLATES_DOCUMENT);
+    const document = this.replicator.document(TEMPLATES_DOCUMENT);
     const after = Number(document.revision);
     const object = await this.objects.watch(TEMPLATES_OBJECT, after, WATCH_WAIT_MS);
     if (!object || this.stopped) return;
@@ -86,26 +87,26 @@
         path: problem?.path,
         reason: problem?.message,
       });
-      // The object stays invalid until the next write; asking at once would only repeat this.
+      // The object stays invalid until its next write, so don't read it again at once.
       await sleep(this.clock, WATCH_WAIT_MS);
       return;
     }
     const delta = document.deltaTo(BigInt(object.version), splitTemplateSet(verdict.set));
-    this.spreader.apply(TEMPLATES_DOCUMENT, delta);
+    this.replicator.apply(TEMPLATES_DOCUMENT, delta);
   }
 
   private async readMachines(): Promise<void> {
-    const document = this.spreader.document(MACHINES_DOCUMENT);
+    const document = this.replicator.document(MACHINES_DOCUMENT);
     const list = await this.machines.watch(Number(document.revision), WATCH_WAIT_MS);
     if (!list || this.stopped) return;
     const contents = new Map(
       list.machines.map((machine) => [machine.id, JSON.stringify(machine)] as const),
     );
-    this.spreader.apply(MACHINES_DOCUMENT, document.deltaTo(BigInt(list.version), contents));
+    this.replicator.apply(MACHINES_DOCUMENT, document.deltaTo(BigInt(list.version), contents));
   }
 }
 
-/** The stored object's contents besides what writers note in it. */
+/** Extracts the configuration from the stored object, without the writers' metadata. */
 function parseContent(content: string): unknown {
   try {
     const parsed = JSON.parse(content) as { configuration?: unknown };
--- a/src/coordination/router/router-context.ts
+++ b/src/coordination/router/router-context.ts
@@ -1,4 +1,4 @@
-/** What the request flows of a router share. */
+/** Services that the calls of a router share. */
 import type { Clock } from '../../runtime/clock.js';
 import type { Hasher } from '../../runtime/hasher.js';
 import type { Logger } from '../../runtime/logger.js';
--- a/src/coordination/router/router-group.ts
+++ b/src/coordination/router/router-group.ts
@@ -1,4 +1,4 @@
-/** The group of routers as one of them sees it. */
+/** The router group, as seen by one router. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '../../runtime/clock.js';
 import { type RandomSource, randomElement, randomInteger } from '../../runtime/random.js';
@@ -20,15 +20,15 @@
 import { READERS_PER_REGION } from './platform-reader.js';
 import type { RouterSettings } from './settings.js';
 
-/** A router that hears of nobody for so long takes itself for the first. */
-const ALONE_AFTER_MS = 3_000;
-/** A member refutes whatever is said of an earlier life, so the first incarnation may be random. */
-const FIRST_INCARNATIONS = 1_000;
+/** A router that received no member table for this time assumes that it is the first. */
+const SOLE_MEMBER_AFTER_MS = 3_000;
+/** Random initial incarnations are safe, as a member refutes statements on a previous one. */
+const INITIAL_INCARNATION_RANGE = 1_000;
 
-/** What the group asks of and tells its router. */
+/** Callbacks of the group, implemented by its router. */
 export type RouterGroupEvents = Omit<GossipEvents, 'onViewChange'>;
 
-/** Membership of one router and what follows from it. */
+/** Group membership of one router and decisions derived from it. */
 export class RouterGroup {
   private readonly startedMs: number;
   private gossip: GossipService | undefined;
@@ -45,12 +45,12 @@
     this.startedMs = clock.now();
   }
 
-  /** Binds the datagram socket and begins to probe. */
+  /** Binds the datagram socket and starts probing. */
   async start(peerAddress: string): Promise<void> {
     this.gossip = await GossipService.open(
       this.settings,
       peerAddress,
-      randomInteger(this.random, FIRST_INCARNATIONS),
+      randomInteger(this.random, INITIAL_INCARNATION_RANGE),
       this.datagrams,
       this.clock,
       this.random,
@@ -68,7 +68,7 @@
     this.gossip?.stop();
   }
 
-  /** Announces that this router leaves. */
+  /** Announces that this router is leaving. */
   leave(): void {
     this.gossip?.leave();
   }
@@ -78,7 +78,7 @@
     return this.gossip?.membership.own.gossipAddress ?? this.settings.gossipAddress;
   }
 
-  /** All members known, the dead of the last minutes among them. */
+  /** All known members, including recently dead ones. */
   members(): MemberUpdate[] {
     return this.gossip?.membership.all() ?? [];
   }
@@ -97,35 +97,37 @@
     return this.members().find((member) => member.nodeId === nodeId)?.peerAddress;
   }
 
-  /** False until a whole member table was seen: a part of it would name wrong claim replicas. */
+  /**
+   * False until a complete member table was received: a partial one gives wrong claim replicas.
+   */
   isViewComplete(): boolean {
-    return this.tableReceived || this.clock.now() - this.startedMs >= ALONE_AFTER_MS;
+    return this.tableReceived || this.clock.now() - this.startedMs >= SOLE_MEMBER_AFTER_MS;
   }
 
-  get lacksTable(): boolean {
+  get needsTable(): boolean {
     return !this.tableReceived;
   }
 
-  /** Takes over a member's whole table. */
+  /** Merges the complete member table of another router. */
   mergeTable(members: readonly MemberUpdate[]): void {
     this.gossip?.mergeTable(members);
     this.tableReceived = true;
   }
 
-  /** Whether the view changed since the last asking. */
-  takeViewChange(): boolean {
+  /** Returns whether the view changed since the last call. */
+  consumeViewChange(): boolean {
     const changed = this.viewChanged;
     this.viewChanged = false;
     return changed;
   }
 
-  /** Any other working member; undefined where there is none. */
+  /** Returns a random other working member, or undefined if there is none. */
   randomOther(): string | undefined {
     const others = this.working().filter((nodeId) => nodeId !== this.settings.nodeId);
     return randomElement(this.random, others);
   }
 
-  /** The first routers of the region by identifier read the platform. */
+  /** Whether this router is among the first of its region by identifier, and so a reader. */
   isReader(): boolean {
     const { region, nodeId } = this.settings;
     const ranked = this.members()
@@ -139,11 +141,11 @@
     this.gossip?.announceRevisions();
   }
 
-  spreadEngineReport(report: EngineReport): void {
-    this.gossip?.spreadEngineReport(report);
+  announceEngineReport(report: EngineReport): void {
+    this.gossip?.announceEngineReport(report);
   }
 
-  /** The routers, for agents. */
+  /** The router table that is sent to agents. */
   routerTable(): RouterTable {
     const present = this.members().filter((member) => member.status !== MemberStatus.Dead);
     const routers = present.map((member) =>
--- a/src/coordination/router/router-node.ts
+++ b/src/coordination/router/router-node.ts
@@ -1,4 +1,4 @@
-/** One router: puts its services together and passes messages between them. */
+/** The router: creates its services and dispatches messages between them. */
 import { create } from '@bufbuild/protobuf';
 import { inject, injectable } from 'tsyringe';
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
@@ -35,7 +35,7 @@
 import { PrefixDirectory } from '../../state/prefix-directory.js';
 import { RetryBudgets } from '../../state/retry-budget.js';
 import { Configuration, MACHINES_DOCUMENT, TEMPLATES_DOCUMENT } from '../shared/configuration.js';
-import { DocumentSpreader } from '../shared/document-spreader.js';
+import { DocumentReplicator } from '../shared/document-spreader.js';
 import { BackendTable } from './backend-table.js';
 import { CallServer } from './call-server.js';
 import { ClaimService } from './claim-service.js';
@@ -57,18 +57,18 @@
   ROUTER_SETTINGS,
 } from './tokens.js';
 
-/** Time a router that leaves waits after telling, so that no new call is under way to it. */
-const LEAVE_NOTICE_MS = 300;
+/** Wait after announcing the leave, so that agents stop sending new calls. */
+const LEAVE_PROPAGATION_MS = 300;
 const REFRESH_PERIOD_MS = 500;
 
-/** One router node. */
+/** A router of the group. */
 @injectable()
 export class RouterNode {
   readonly statistics: RouterStatistics = createRouterStatistics();
   readonly engines = new EngineTable();
   readonly directory = new PrefixDirectory();
   readonly configuration: Configuration;
-  private readonly spreader: DocumentSpreader;
+  private readonly replicator: DocumentReplicator;
   private readonly backends = new BackendTable();
   private readonly admission = new Admission();
   private readonly budgets = new RetryBudgets();
@@ -98,15 +98,15 @@
     @inject(MACHINE_LIST_PORT) machines: MachineListPort,
   ) {
     const { nodeId, zone } = settings;
-    this.spreader = new DocumentSpreader(
+    this.replicator = new DocumentReplicator(
       [TEMPLATES_DOCUMENT, MACHINES_DOCUMENT],
       !protections.monotonicRevisions,
     );
     this.configuration = new Configuration(logger);
     this.group = new RouterGroup(settings, datagrams, clock, random, {
-      revisions: () => this.spreader.revisions(),
+      revisions: () => this.replicator.revisions(),
       onRevisions: (id, revisions) => this.onRevisions(id, revisions),
-      onEngineReports: (reports) => this.takeEngineReports(reports),
+      onEngineReports: (reports) => this.applyEngineReports(reports),
     });
     this.pool = new PeerPool(
       { nodeId, zone, role: NodeRole.ROUTER },
@@ -130,14 +130,14 @@
     this.reader = new PlatformReader(
       objects,
       machines,
-      this.spreader,
+      this.replicator,
       () => this.group.isReader(),
       clock,
       random,
       logger,
     );
     this.ownership = this.createOwnership();
-    this.spreader.onChange((name) => this.onDocument(name));
+    this.replicator.onChange((name) => this.onDocument(name));
   }
 
   /** Address that agents and routers connect to, once started. */
@@ -145,9 +145,9 @@
     return this.listener?.address ?? this.settings.peerAddress;
   }
 
-  /** Serves calls: has a configuration and a machine list. */
+  /** True while the router has a configuration and machine list and isn't leaving. */
   get isReady(): boolean {
-    return !this.leaving && this.configuration.isReady && this.configuration.hasMachines;
+    return !this.leaving && this.configuration.isReady && this.configuration.hasMachineList;
   }
 
   /** Address of membership datagrams, once started. */
@@ -155,7 +155,7 @@
     return this.group.gossipAddress;
   }
 
-  /** Whether every engine of the machine list has reported, to this router or through a peer. */
+  /** Whether a report of every engine of the machine list was received, directly or from a peer. */
   get knowsAllEngines(): boolean {
     return !this.ownership.hasUnknownEngines;
   }
@@ -169,7 +169,7 @@
     return this.calls.runningCalls;
   }
 
-  /** Working routers as this one sees them. */
+  /** Identifiers of the working routers in this router's view. */
   get workingRouters(): string[] {
     return this.group.working();
   }
@@ -184,13 +184,13 @@
     this.logger.info('router_started', { peer: this.peerAddress, gossip: this.gossipAddress });
   }
 
-  /** Planned stop: leaves the group, finishes what runs, then closes. */
+  /** Graceful stop: leaves the group, completes running calls, then closes. */
   async stop(): Promise<void> {
     this.leaving = true;
     this.group.leave();
     this.sendRouterTable();
     await new Promise<void>((resolve) => {
-      this.clock.setTimer(LEAVE_NOTICE_MS, resolve);
+      this.clock.setTimer(LEAVE_PROPAGATION_MS, resolve);
     });
     await this.calls.drain();
     this.close();
@@ -238,7 +238,7 @@
       {
         working: () => this.group.working(),
         send: (nodeId, body) => this.pool.send(nodeId, body),
-        spread: (report) => this.group.spreadEngineReport(report),
+        announceReport: (report) => this.group.announceEngineReport(report),
       },
       this.clock,
       this.hasher,
@@ -247,12 +247,12 @@
   }
 
   private onOpen(channel: PeerChannel, hello: Hello): void {
-    this.spreader.sendDigest(channel);
+    this.replicator.sendDigest(channel);
     if (hello.role === NodeRole.AGENT) {
       channel.send({ case: 'routerTable', value: this.group.routerTable() });
       return;
     }
-    if (this.group.lacksTable) this.requestTable(channel);
+    if (this.group.needsTable) this.requestTable(channel);
   }
 
   private requestTable(channel: PeerChannel): void {
@@ -265,29 +265,29 @@
     channel.send({ case: 'memberTable', value: create(MemberTableSchema, { members, engines }) });
   }
 
-  private takeEngineReports(reports: readonly EngineReport[]): void {
+  private applyEngineReports(reports: readonly EngineReport[]): void {
     for (const report of reports) {
-      if (this.ownership.takeReport(report)) this.group.spreadEngineReport(report);
+      if (this.ownership.applyReport(report)) this.group.announceEngineReport(report);
     }
   }
 
   private onMessage(channel: PeerChannel, body: PeerBody): void {
     if (this.calls.handle(channel, body)) return;
-    if (this.spreader.handle(channel, body)) return;
+    if (this.replicator.handle(channel, body)) return;
     if (this.claims.handle(channel, body)) return;
     switch (body.case) {
       case 'memberTable':
         this.group.mergeTable(body.value.members.map(decodeMemberUpdate));
-        for (const report of body.value.engines) this.ownership.takeReport(report);
+        for (const report of body.value.engines) this.ownership.applyReport(report);
         break;
       case 'tableRequest':
         this.sendTable(channel);
         break;
       case 'directoryUpdate':
-        this.ownership.takeUpdate(body.value);
+        this.ownership.applyUpdate(body.value);
         break;
       case 'engineReport':
-        this.ownership.takeReport(body.value);
+        this.ownership.applyReport(body.value);
         break;
       case 'ping':
         channel.send({ case: 'pong', value: create(PongSchema) });
@@ -298,45 +298,48 @@
   }
 
   private onRevisions(nodeId: string, revisions: readonly DocumentRevision[]): void {
-    if (!this.spreader.isBehind(revisions)) return;
-    // The digest makes the peer send what is lacking here.
-    this.pool.send(nodeId, { case: 'documentDigest', value: this.spreader.digest() });
+    if (!this.replicator.isBehind(revisions)) return;
+    // The peer responds to the digest with the missing deltas.
+    this.pool.send(nodeId, { case: 'documentDigest', value: this.replicator.digest() });
   }
 
-  /** Any member's table will do; a random one, so that a herd does not ask the same. */
-  private askForTable(): void {
+  /** Picks a random peer, so that routers that start together don't all query the same one. */
+  private requestTableFromRandomPeer(): void {
     const other = this.group.randomOther();
     if (other === undefined) return;
     this.pool.send(other, { case: 'tableRequest', value: create(TableRequestSchema) });
   }
 
-  /** Acts on a changed view once a period, however many members changed in it. */
+  /** Applies changes of the view once per period, to batch them. */
   private refresh(): void {
-    if (this.group.lacksTable || this.ownership.hasUnknownEngines) this.askForTable();
-    if (!this.group.takeViewChange()) return;
+    if (this.group.needsTable || this.ownership.hasUnknownEngines)
+      this.requestTableFromRandomPeer();
+    if (!this.group.consumeViewChange()) return;
     for (const member of this.group.members()) {
-      if (member.status === MemberStatus.Dead) this.pool.drop(member.nodeId);
+      if (member.status === MemberStatus.Dead) this.pool.disconnect(member.nodeId);
     }
     this.ownership.refresh();
     this.sendRouterTable();
   }
 
   private onDocument(name: string): void {
-    const document = this.spreader.document(name);
+    const document = this.replicator.document(name);
     if (name === TEMPLATES_DOCUMENT) this.configuration.loadTemplates(document);
     else this.loadMachines();
-    for (const channel of this.pool.agentChannels()) this.spreader.sendDigest(channel);
+    for (const channel of this.pool.agentChannels()) this.replicator.sendDigest(channel);
     this.group.announceRevisions();
   }
 
   private loadMachines(): void {
-    this.configuration.loadMachines(this.spreader.document(MACHINES_DOCUMENT));
+    this.configuration.loadMachines(this.replicator.document(MACHINES_DOCUMENT));
     const { machines } = this.configuration;
-    const seen = this.protections.respectLeaving
+    const effectiveMachines = this.protections.respectLeaving
       ? machines
       : machines.map((machine) => ({ ...machine, leaving: false }));
-    this.backends.replaceMachines(seen.filter((machine) => machine.kind === 'backend'));
-    this.ownership.assign(seen);
+    this.backends.replaceMachines(
+      effectiveMachines.filter((machine) => machine.kind === 'backend'),
+    );
+    this.ownership.assign(effectiveMachines);
   }
 
   private sendRouterTable(): void {
--- a/src/coordination/router/router-statistics.ts
+++ b/src/coordination/router/router-statistics.ts
@@ -1,6 +1,6 @@
-/** Counters of one router, read by its metrics page. */
+/** Counters of one router, exposed as metrics. */
 
-/** Totals since the router's start. */
+/** Totals since the start of the router. */
 export interface RouterStatistics {
   requests: number;
   finished: number;
@@ -8,18 +8,18 @@
   /** Attempts sent to back ends. */
   attempts: number;
   retries: number;
-  /** Streams taken up at another engine. */
+  /** Streams continued on another engine. */
   continuations: number;
-  /** Streams taken up after another router was lost. */
+  /** Streams resumed after another router was lost. */
   reattachments: number;
   promptTokens: number;
   cachedTokens: number;
   chunks: number;
-  /** Answers of attempts given up, dropped. */
+  /** Responses dropped because they belong to abandoned attempts. */
   lateAnswers: number;
 }
 
-/** All counters at zero. */
+/** Creates statistics with all counters at zero. */
 export function createRouterStatistics(): RouterStatistics {
   return {
     requests: 0,
--- a/src/coordination/router/settings.ts
+++ b/src/coordination/router/settings.ts
@@ -1,6 +1,6 @@
-/** What a router is told at its start. */
+/** Settings of a router. */
 
-/** Settings of one router. */
+/** Settings that a router is started with. */
 export interface RouterSettings {
   readonly nodeId: string;
   readonly zone: string;
@@ -9,33 +9,33 @@
   readonly peerAddress: string;
   /** `HOST:PORT` for membership datagrams, UDP. */
   readonly gossipAddress: string;
-  /** Gossip addresses of some routers to join through. */
+  /** Gossip addresses of routers through which to join. */
   readonly seeds: readonly string[];
-  /** Secret shared by all nodes, which authenticates datagrams. */
+  /** Secret shared by all nodes to authenticate datagrams. */
   readonly clusterKey: string;
 }
 
-/** Protections that the mutation tests switch off one at a time; all are on in a running router. */
+/** Protections that mutation tests disable one at a time; all are enabled in production. */
 export interface Protections {
-  /** Claim an operation that may not be repeated before sending it. */
+  /** Claim a non-repeatable operation before dispatching it. */
   readonly claims: boolean;
-  /** Bind the cache salt to the tenant. */
+  /** Derive the cache salt from the tenant. */
   readonly tenantSalt: boolean;
-  /** Bind the cache salt to the weights. */
+  /** Derive the cache salt from the weights. */
   readonly weightsSalt: boolean;
-  /** Refuse a revision at or below the one in force. */
+  /** Reject a revision that isn't newer than the current one. */
   readonly monotonicRevisions: boolean;
-  /** Send no new work to a leaving back end. */
+  /** Send no new requests to a leaving back end. */
   readonly respectLeaving: boolean;
-  /** Say "not run" only where it is proven. */
+  /** Report "not run" only if it is proven. */
   readonly proveNotRun: boolean;
-  /** Continue a lost stream where it stood. */
+  /** Continue an interrupted stream at its position. */
   readonly continueStreams: boolean;
-  /** Limit retries by the tenant's budget. */
+  /** Limit retries by the tenant's retry budget. */
   readonly retryBudget: boolean;
 }
 
-/** All protections on. */
+/** All protections enabled. */
 export const ALL_PROTECTIONS: Protections = {
   claims: true,
   tenantSalt: true,
--- a/src/coordination/router/stall-watch.ts
+++ b/src/coordination/router/stall-watch.ts
@@ -1,27 +1,27 @@
-/** Notices an attempt that shows no progress for too long, though its connection stands. */
+/** Detects an attempt that makes no progress, even if its connection is open. */
 import type { Clock, Timer } from '../../runtime/clock.js';
 
-/** A stream that has begun and shows no token for so long is taken for lost. */
-export const STALL_LIMIT_MS = 4_000;
+/** A started stream is considered stalled after this time without a token. */
+export const STALL_TIMEOUT_MS = 4_000;
 
-/** An engine that has not computed a prompt by then is left, queue or not. */
-export const FIRST_TOKEN_LIMIT_MS = 12_000;
+/** An attempt is considered stalled if it has no first token by then, even if it is queued. */
+export const FIRST_TOKEN_TIMEOUT_MS = 12_000;
 
-/** Watches one attempt at a time. */
-export class StallWatch {
+/** Progress timer for one attempt at a time. */
+export class StallDetector {
   private timer: Timer | undefined;
 
-  /** `isExcused`: progress is not to be expected now, since the caller reads slowly. */
+  /** `isIdleExpected`: whether no progress is expected, e.g. because the caller reads slowly. */
   constructor(
     private readonly clock: Clock,
-    private readonly isExcused: () => boolean,
+    private readonly isIdleExpected: () => boolean,
   ) {}
 
-  /** Starts anew: `onStalled` runs unless this is called again within the limit. */
+  /** Restarts the timer: `onStalled` runs unless this is called again within the limit. */
   expectWithin(limitMs: number, onStalled: () => void): void {
     this.stop();
     this.timer = this.clock.setTimer(limitMs, () => {
-      if (this.isExcused()) this.expectWithin(limitMs, onStalled);
+      if (this.isIdleExpected()) this.expectWithin(limitMs, onStalled);
       else onStalled();
     });
   }
--- a/src/coordination/router/token-relay.ts
+++ b/src/coordination/router/token-relay.ts
@@ -1,19 +1,19 @@
-/** Passes an engine's tokens on in order and within the receiver's credit. */
+/** Relays an engine's tokens in order and within the receiver's credit. */
 
-/** Where tokens go. */
+/** Receives relayed tokens. */
 export interface TokenSink {
   chunk(sequence: number, texts: string[]): void;
 }
 
-/** Tokens held here at most before the engine's stream is paused. */
-const HELD_TOKENS_MARK = 64;
+/** Number of buffered tokens at which the engine's stream is paused. */
+const PAUSE_THRESHOLD_TOKENS = 64;
 
-/** The delivered part of one stream. */
+/** Buffer and position of one stream. */
 export class TokenRelay {
-  private held: string[] = [];
+  private buffered: string[] = [];
   private sentCount: number;
   private receivedCount: number;
-  /** Text received in this router, without what was delivered before. */
+  /** Texts received by this router, without those delivered through earlier routers. */
   private readonly received: string[] = [];
 
   constructor(
@@ -25,7 +25,7 @@
     this.receivedCount = deliveredChunks;
   }
 
-  /** Sequence number of the next token expected from an engine. */
+  /** Sequence number of the next expected token. */
   get nextSequence(): number {
     return this.receivedCount;
   }
@@ -35,25 +35,25 @@
     return this.received.join('');
   }
 
-  /** True where no more should be read from the engine for now. */
+  /** Whether reading from the engine should be paused. */
   get isFull(): boolean {
-    return this.held.length >= HELD_TOKENS_MARK;
+    return this.buffered.length >= PAUSE_THRESHOLD_TOKENS;
   }
 
   get isDrained(): boolean {
-    return this.held.length === 0;
+    return this.buffered.length === 0;
   }
 
   /**
-   * Takes tokens that start at `sequence`. Repeated ones are skipped. False: some are missing
-   * between what came before and these, and nothing was taken.
+   * Accepts tokens that start at `sequence` and skips duplicates. Returns false and accepts nothing
+   * if tokens are missing before them.
    */
-  take(sequence: number, texts: readonly string[]): boolean {
+  accept(sequence: number, texts: readonly string[]): boolean {
     if (sequence > this.receivedCount) return false;
-    const fresh = texts.slice(this.receivedCount - sequence);
-    this.receivedCount += fresh.length;
-    this.received.push(...fresh);
-    this.held.push(...fresh);
+    const newTexts = texts.slice(this.receivedCount - sequence);
+    this.receivedCount += newTexts.length;
+    this.received.push(...newTexts);
+    this.buffered.push(...newTexts);
     this.flush();
     return true;
   }
@@ -64,10 +64,10 @@
   }
 
   private flush(): void {
-    const count = Math.min(this.credit, this.held.length);
+    const count = Math.min(this.credit, this.buffered.length);
     if (count === 0) return;
-    const texts = this.held.slice(0, count);
-    this.held = this.held.slice(count);
+    const texts = this.buffered.slice(0, count);
+    this.buffered = this.buffered.slice(count);
     this.credit -= count;
     this.sink.chunk(this.sentCount, texts);
     this.sentCount += count;
--- a/src/coordination/shared/configuration.ts
+++ b/src/coordination/shared/configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration in force at a node, and its machine list, read from the replicated documents. */
+/** The active configuration and machine list of a node, read from the replicated documents. */
 import { createHash } from 'node:crypto';
 import type { Logger } from '../../runtime/logger.js';
 import type { Machine } from '../../protocol/machine-list/port.js';
@@ -13,41 +13,41 @@
   resolveParameters,
 } from '../../state/template-set.js';
 
-/** Name of the document with models, services, templates and tenants. */
+/** Name of the document that contains models, services, templates and tenants. */
 export const TEMPLATES_DOCUMENT = 'templates';
 
-/** Name of the document with the machine list. */
+/** Name of the document that contains the machine list. */
 export const MACHINES_DOCUMENT = 'machines';
 
-/** A model as a tenant may use it now. */
+/** A model and the version of it that a tenant may use. */
 export interface AllowedModel {
   readonly model: string;
   readonly version: ModelVersion;
 }
 
-/** What a node reads from its copies of the documents. */
+/** Configuration read from a node's copies of the replicated documents. */
 export class Configuration {
-  private set: TemplateSet | undefined;
-  private revisionInForce = 0n;
+  private templateSet: TemplateSet | undefined;
+  private currentRevision = 0n;
   private machineList: Machine[] = [];
   private machineRevision = 0n;
   private readonly tenantsByKeyHash = new Map<string, string>();
-  private readonly resolved = new Map<string, TenantParameters>();
+  private readonly parametersByTenant = new Map<string, TenantParameters>();
 
   constructor(private readonly logger: Logger) {}
 
-  /** True once some configuration is in force. */
+  /** True once a configuration was loaded. */
   get isReady(): boolean {
-    return this.set !== undefined;
+    return this.templateSet !== undefined;
   }
 
-  /** Revision of the templates in force; 0 for none. */
+  /** Revision of the active templates; 0 if there are none. */
   get revision(): bigint {
-    return this.revisionInForce;
+    return this.currentRevision;
   }
 
-  /** Whether a machine list was ever received. */
-  get hasMachines(): boolean {
+  /** Whether a machine list was received. */
+  get hasMachineList(): boolean {
     return this.machineRevision > 0n;
   }
 
@@ -55,7 +55,7 @@
     return this.machineList;
   }
 
-  /** Takes over a changed templates document; an invalid one leaves the last good one in force. */
+  /** Loads a changed templates document. If it is invalid, the previous one stays active. */
   loadTemplates(document: ReplicatedDocument): boolean {
     const verdict = checkTemplateSet(joinTemplateSet(document.contents()));
     if (verdict.kind === 'invalid') {
@@ -67,52 +67,54 @@
       });
       return false;
     }
-    this.set = verdict.set;
-    this.revisionInForce = document.revision;
-    this.resolved.clear();
+    this.templateSet = verdict.set;
+    this.currentRevision = document.revision;
+    this.parametersByTenant.clear();
     this.indexKeys(verdict.set);
     this.logger.info('configuration_in_force', { revision: String(document.revision) });
     return true;
   }
 
-  /** Takes over a changed machine list. */
+  /** Loads a changed machine list. */
   loadMachines(document: ReplicatedDocument): void {
     const contents = [...document.contents().values()];
     this.machineList = contents.map((content) => JSON.parse(content) as Machine);
     this.machineRevision = document.revision;
   }
 
-  /** The tenant a caller's key belongs to. */
+  /** Returns the tenant of an API key. */
   tenantOfKey(key: string): string | undefined {
     return this.tenantsByKeyHash.get(hashKey(key));
   }
 
-  /** Parameters in force for a tenant. */
+  /** Returns the resolved parameters of a tenant. */
   parametersOf(tenant: string): TenantParameters | undefined {
-    const present = this.resolved.get(tenant);
-    if (present || !this.set) return present;
-    const parameters = resolveParameters(this.set, tenant);
-    if (parameters) this.resolved.set(tenant, parameters);
+    const cached = this.parametersByTenant.get(tenant);
+    if (cached || !this.templateSet) return cached;
+    const parameters = resolveParameters(this.templateSet, tenant);
+    if (parameters) this.parametersByTenant.set(tenant, parameters);
     return parameters;
   }
 
-  /** The version of a model that a tenant may use; undefined where it may not. */
+  /** Returns the version of a model that a tenant may use, or undefined if it may use none. */
   allowedModel(tenant: string, model: string): AllowedModel | undefined {
     const versionName = this.parametersOf(tenant)?.models[model];
     const version =
-      versionName === undefined ? undefined : this.set?.models[model]?.versions[versionName];
+      versionName === undefined
+        ? undefined
+        : this.templateSet?.models[model]?.versions[versionName];
     return version && { model, version };
   }
 
-  /** Whether any tenant could use a model of that name. */
+  /** Whether a model of this name is configured. */
   knowsModel(model: string): boolean {
-    return this.set?.models[model] !== undefined;
+    return this.templateSet?.models[model] !== undefined;
   }
 
-  /** Policy of an operation that the tenant may call. */
+  /** Returns the policy of an operation, or undefined if the tenant may not call it. */
   operation(tenant: string, service: string, operation: string): OperationPolicy | undefined {
     if (!this.parametersOf(tenant)?.services.includes(service)) return undefined;
-    return this.set?.services[service]?.operations[operation];
+    return this.templateSet?.services[service]?.operations[operation];
   }
 
   private indexKeys(set: TemplateSet): void {
@@ -123,7 +125,7 @@
   }
 }
 
-/** Hash under which a caller's key is kept. */
+/** Returns the hash by which an API key is stored. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key, 'utf8').digest('hex');
 }
--- a/src/coordination/shared/document-spreader.ts
+++ b/src/coordination/shared/document-spreader.ts
@@ -1,4 +1,4 @@
-/** Spreads replicated documents over peer channels: digests tell revisions, pulls fetch what lacks. */
+/** Replicates documents over peer channels by digests of revisions, pulls and deltas. */
 import { create } from '@bufbuild/protobuf';
 import {
   type DocumentDelta as WireDelta,
@@ -16,8 +16,8 @@
 const encoder = new TextEncoder();
 const decoder = new TextDecoder();
 
-/** One node's copies of all documents. */
-export class DocumentSpreader {
+/** A node's copies of all replicated documents. */
+export class DocumentReplicator {
   private readonly documents = new Map<string, ReplicatedDocument>();
   private readonly listeners: ((name: string, document: ReplicatedDocument) => void)[] = [];
 
@@ -25,7 +25,7 @@
     for (const name of names) this.documents.set(name, new ReplicatedDocument(acceptsOlder));
   }
 
-  /** Calls back after a document took a newer revision. */
+  /** Registers a listener that is called after each applied delta. */
   onChange(listener: (name: string, document: ReplicatedDocument) => void): void {
     this.listeners.push(listener);
   }
@@ -36,24 +36,24 @@
     return document;
   }
 
-  /** The revisions held here. */
+  /** Revisions of the local copies. */
   revisions(): DocumentRevision[] {
     return [...this.documents].map(([document, copy]) =>
       create(DocumentRevisionSchema, { document, revision: copy.revision }),
     );
   }
 
-  /** What is held here, as a message. */
+  /** Revisions of the local copies, as a message. */
   digest(): DocumentDigest {
     return create(DocumentDigestSchema, { revisions: this.revisions() });
   }
 
-  /** Tells a peer what is held here. */
+  /** Sends the revisions of the local copies to a peer. */
   sendDigest(channel: PeerChannel): void {
     channel.send({ case: 'documentDigest', value: this.digest() });
   }
 
-  /** Whether a peer's revisions show that it has something newer. */
+  /** Whether a peer has a newer revision of any document. */
   isBehind(revisions: readonly DocumentRevision[]): boolean {
     return revisions.some(({ document, revision }) => {
       const copy = this.documents.get(document);
@@ -61,24 +61,24 @@
     });
   }
 
-  /** Handles the three document messages; false for any other. */
+  /** Handles the three document messages; returns false for any other message. */
   handle(channel: PeerChannel, body: PeerBody): boolean {
     switch (body.case) {
       case 'documentDigest':
-        this.answerDigest(channel, body.value.revisions);
+        this.handleDigest(channel, body.value.revisions);
         return true;
       case 'documentPull':
         this.sendDelta(channel, body.value.document, body.value.haveRevision);
         return true;
       case 'documentDelta':
-        this.takeDelta(channel, body.value);
+        this.receiveDelta(channel, body.value);
         return true;
       default:
         return false;
     }
   }
 
-  /** Applies a delta read from the source of a document. */
+  /** Applies a delta that was read from the source of a document or received from a peer. */
   apply(name: string, delta: DocumentDelta): boolean {
     const document = this.document(name);
     if (document.applyDelta(delta) !== 'applied') return false;
@@ -86,7 +86,7 @@
     return true;
   }
 
-  private answerDigest(channel: PeerChannel, revisions: readonly DocumentRevision[]): void {
+  private handleDigest(channel: PeerChannel, revisions: readonly DocumentRevision[]): void {
     for (const { document, revision } of revisions) {
       const copy = this.documents.get(document);
       if (!copy) continue;
@@ -122,7 +122,7 @@
     channel.send({ case: 'documentDelta', value });
   }
 
-  private takeDelta(channel: PeerChannel, wire: WireDelta): void {
+  private receiveDelta(channel: PeerChannel, wire: WireDelta): void {
     const copy = this.documents.get(wire.document);
     if (!copy) return;
     if (wire.baseRevision > copy.revision) {
--- a/src/coordination/shared/failure-codec.ts
+++ b/src/coordination/shared/failure-codec.ts
@@ -1,4 +1,4 @@
-/** Maps call failures to the internal protocol and back. */
+/** Encodes call failures for the peer protocol and decodes them. */
 import { create } from '@bufbuild/protobuf';
 import {
   type CallFailed,
@@ -33,7 +33,7 @@
   });
 }
 
-/** Decodes a failure. A kind this node does not know counts as an unknown outcome. */
+/** Decodes a failure. An unknown kind is decoded as an unknown outcome. */
 export function decodeFailure(message: CallFailed): FailedCall {
   return { failure: failureOf(message), notRun: message.notRun };
 }
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -1,4 +1,7 @@
-/** The whole path as separate processes, with signals as failures. */
+/**
+ * End-to-end test with separate processes: guards against incomplete streams when processes are
+ * killed or stopped.
+ */
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
@@ -8,7 +11,7 @@
 import { worldTemplates } from '../src/lab/simulation/world-settings.js';
 import { Program, waitUntilOk } from './helpers/processes.js';
 
-const ANY = '127.0.0.1:0';
+const ANY_PORT = '127.0.0.1:0';
 const TOKENS = 120;
 const CLUSTER_KEY = 'a-cluster-key-for-tests';
 
@@ -22,7 +25,7 @@
 
 async function startEngine(id: string, platformAddress: string, zone: string): Promise<Program> {
   const weights = ['--model', 'model', '--weights-digest', 'weights-one'];
-  const engine = new Program(['lab', 'engine', '--id', id, '--http', ANY, ...weights]);
+  const engine = new Program(['lab', 'engine', '--id', id, '--http', ANY_PORT, ...weights]);
   const address = await engine.field('engine_started', 'address');
   const machine = { id, kind: 'engine', address, zone, site: 'old' };
   await fetch(`http://${platformAddress}/machines/${id}`, {
@@ -42,7 +45,7 @@
   const file = path.join(folder, `${id}.yaml`);
   const settings = {
     node: { id, zone: 'zone-a', region: 'region' },
-    listen: { peer: ANY, gossip: ANY, operations: ANY },
+    listen: { peer: ANY_PORT, gossip: ANY_PORT, operations: ANY_PORT },
     seeds,
     platform: { object_api: platformAddress, machine_list: platformAddress },
     cluster_key: CLUSTER_KEY,
@@ -60,7 +63,14 @@
   if (standard) standard.site_shares = { old: 1 };
   const templatesFile = path.join(folder, 'templates.yaml');
   writeFileSync(templatesFile, stringify(templates));
-  const platform = new Program(['lab', 'platform', '--http', ANY, '--templates', templatesFile]);
+  const platform = new Program([
+    'lab',
+    'platform',
+    '--http',
+    ANY_PORT,
+    '--templates',
+    templatesFile,
+  ]);
   const platformAddress = await platform.field('platform_started', 'address');
   const engines = [
     await startEngine('engine-1', platformAddress, 'zone-a'),
@@ -74,7 +84,17 @@
   const routers = [first, second, third];
   const peers = await Promise.all(routers.map((each) => each.field('router_started', 'peer')));
   const agent = new Program([
-    ...['agent', '--id', 'agent-1', '--zone', 'zone-a', '--callers', ANY, '--operations', ANY],
+    ...[
+      'agent',
+      '--id',
+      'agent-1',
+      '--zone',
+      'zone-a',
+      '--callers',
+      ANY_PORT,
+      '--operations',
+      ANY_PORT,
+    ],
     ...peers.flatMap((peer) => ['--router', peer]),
   ]);
   await waitUntilOk(`http://${await agent.field('operations_started', 'address')}/readyz`);
@@ -82,7 +102,7 @@
   t.teardown(() => {
     for (const each of [platform, agent, ...engines, ...routers]) each.kill('SIGKILL');
   });
-  // The third engine's machine may still be on its way to the routers.
+  // The routers may not have received the third engine's machine yet.
   await new Promise((resolve) => setTimeout(resolve, 1_500));
   return { platform, engines, routers, agent, agentAddress };
 }
@@ -103,7 +123,8 @@
     }),
   });
   const body = await response.text();
-  if (!body.trimEnd().endsWith('data: [DONE]')) throw new Error(`not whole: ${body.slice(-300)}`);
+  if (!body.trimEnd().endsWith('data: [DONE]'))
+    throw new Error(`incomplete stream: ${body.slice(-300)}`);
   const events = body.split('\n').filter((line) => line.startsWith('data: {'));
   const texts = events.map((line) => {
     const event = JSON.parse(line.slice('data: '.length)) as { choices: { text: string }[] };
@@ -112,11 +133,11 @@
   return texts.join('');
 }
 
-/** Starts streams, does something in the middle of them and checks that each is whole. */
+/** Starts streams, runs `injectFault` in the middle of them and checks that each is complete. */
 async function withStreams(
   t: ExecutionContext,
   deployment: Deployment,
-  disturb: () => Promise<unknown> | undefined,
+  injectFault: () => Promise<unknown> | undefined,
 ): Promise<void> {
   const STREAMS = 12;
   const MIDDLE_MS = 600;
@@ -124,7 +145,7 @@
     stream(deployment.agentAddress, index),
   );
   await new Promise((resolve) => setTimeout(resolve, MIDDLE_MS));
-  await disturb();
+  await injectFault();
   const texts = await Promise.all(streams);
   const model = await createTokenModel();
   for (const [index, text] of texts.entries()) {
@@ -132,7 +153,7 @@
   }
 }
 
-test('streams are whole through SIGKILL of a router and an engine and SIGTERM of both daemons', async (t) => {
+test('streams complete despite SIGKILL of a router and an engine and SIGTERM of a router and the agent', async (t) => {
   t.timeout(120_000);
   const deployment = await startDeployment(t);
   const { routers, engines, agent } = deployment;
@@ -146,7 +167,7 @@
   t.notRegex(agent.log + routers[2]?.log, /key-tenant-a|long beginning/);
 });
 
-test('settings that cannot be used end the start with code 2 and one line', async (t) => {
+test('invalid settings end the program with exit code 2 and a one-line error', async (t) => {
   const folder = mkdtempSync(path.join(tmpdir(), 'peatspan-test-'));
   const file = path.join(folder, 'router.yaml');
   writeFileSync(file, 'node: { id: r, zone: z }\nlisten: { peer: nowhere }\n');
