--- a/src/coordination/agent/caller.ts
+++ b/src/coordination/agent/caller.ts
@@ -46,8 +46,8 @@
 /** Receives a response. Exactly one of the last three methods is called, once, as the last call. */
 export interface CallerSink {
   /**
-   * Texts of a stream; `sequence` counts over the whole request. Each text must be acknowledged by
-   * `CallerHandle.consumed`.
+   * Texts of a stream; `sequence` counts over the whole request. Each text must be acknowledged
+   * through the `CallerHandle`.
    */
   onTexts(sequence: number, texts: readonly string[]): void;
   onFinished(finishReason: string, usage: CallerUsage): void;
