--- a/src/coordination/agent/agent-call.ts
+++ b/src/coordination/agent/agent-call.ts
@@ -77,7 +77,7 @@
     this.acceptedWallMs = context.clock.wallNow();
     this.deadlineAtMs = this.acceptedMs + request.deadlineMs;
     this.deadlineTimer = context.clock.setTimer(request.deadlineMs + FINAL_RESPONSE_GRACE_MS, () =>
-      this.failWithoutResponse('no response before the deadline'),
+      this.failWithoutResponse('no answer before the deadline'),
     );
   }
 
@@ -149,7 +149,7 @@
     const nowMs = this.context.clock.now();
     this.noRouterSinceMs ??= nowMs;
     if (nowMs - this.noRouterSinceMs >= NO_ROUTER_TIMEOUT_MS) {
-      this.failWithoutResponse('no router is reachable');
+      this.failWithoutResponse('no router can be reached');
       return;
     }
     // Every router was tried once; allow all of them again, as one may have restarted.
@@ -230,7 +230,7 @@
     const isComplete =
       request.kind === 'operation' || message.totalChunks === this.delivered.length;
     if (message.requestId !== request.requestId || !isComplete) {
-      this.switchRouter('response does not match the request');
+      this.switchRouter('answer does not fit the request');
       return;
     }
     this.ledger.apply(RequestEvent.Finish);
@@ -244,7 +244,7 @@
 
   private handleFailed(message: CallFailed): void {
     if (message.requestId !== this.request.requestId) {
-      this.switchRouter('response does not match the request');
+      this.switchRouter('answer does not fit the request');
       return;
     }
     const failed = decodeFailure(message);
--- a/src/coordination/router/call-server.ts
+++ b/src/coordination/router/call-server.ts
@@ -79,10 +79,10 @@
     start: StartCall,
     parameters: TenantParameters | undefined,
   ): CallFailure | undefined {
-    if (this.draining) return { kind: 'try-another-router', message: 'the router is leaving' };
+    if (this.draining) return { kind: 'try-another-router', message: 'this router leaves' };
     const { configuration } = this.context;
     if (!configuration.isReady || !configuration.hasMachineList) {
-      return { kind: 'try-another-router', message: 'the router has no configuration yet' };
+      return { kind: 'try-another-router', message: 'this router has no configuration yet' };
     }
     if (!parameters) return { kind: 'forbidden', message: 'unknown tenant' };
     return start.kind === CallKind.GENERATION
@@ -112,7 +112,7 @@
     output: CallOutput,
   ): void {
     if (!this.context.admission.tryEnter(start.tenant, parameters.maximum_concurrent)) {
-      const message = 'the tenant has reached its limit of concurrent requests';
+      const message = 'the tenant has its most requests running';
       output.failed({
         failure: { kind: 'overloaded', message, retryAfterMs: OVERLOADED_RETRY_MS },
         notRun: !start.earlierUnproven,
--- a/src/coordination/router/generation-call.ts
+++ b/src/coordination/router/generation-call.ts
@@ -337,7 +337,7 @@
         return;
       }
     }
-    const message = `no engine is available for model "${this.allowed.model}"`;
+    const message = `no engine can take model "${this.allowed.model}" now`;
     this.fail({ kind: 'unavailable', message, retryAfterMs: NO_ENGINE_RETRY_MS });
   }
 
--- a/src/coordination/router/operation-call.ts
+++ b/src/coordination/router/operation-call.ts
@@ -64,7 +64,7 @@
         request_id: this.start.requestId,
         reason: String(error),
       });
-      this.fail({ kind: 'outcome-unknown', message: 'internal error' });
+      this.fail({ kind: 'outcome-unknown', message: 'internal fault' });
     });
   }
 
@@ -85,7 +85,7 @@
       const result = await this.invokeHedged();
       if (this.ledger.isSettled) return;
       if (!result) {
-        this.failUnavailable('no back end is available');
+        this.failUnavailable('no back end can take it now');
         return;
       }
       if (result.kind === 'answered') {
@@ -150,7 +150,7 @@
         await this.resolveByLookup();
         return;
       case 'no-majority':
-        if (this.firstUse.proven) this.failUnavailable('no majority of replicas for the claim');
+        if (this.firstUse.proven) this.failUnavailable('no majority to claim the request at');
         else await this.resolveByLookup();
     }
   }
@@ -166,7 +166,7 @@
       const result = await this.invoke();
       if (this.ledger.isSettled) return;
       if (!result) {
-        this.failUnavailable('no back end is available');
+        this.failUnavailable('no back end can take it now');
         return;
       }
       if (result.kind === 'answered') {
@@ -183,7 +183,7 @@
       if (!this.maySpendRetry()) break;
       await sleep(this.context.clock, backoffDelayMs(this.context.random, attempt - 1));
     }
-    this.failUnavailable('the back ends refused the request');
+    this.failUnavailable('the back ends refused it');
   }
 
   /**
@@ -294,7 +294,7 @@
 
   /** Both identifiers are fenced at the back end, so the request has not run and never will. */
   private failFenced(): void {
-    const message = 'the request was not run and its key is closed; retry it with a new key';
+    const message = 'the request was not run and its key is closed; send it anew under another key';
     this.failWith({ kind: 'unavailable', message, retryAfterMs: UNAVAILABLE_RETRY_MS }, true);
   }
 
@@ -303,7 +303,7 @@
     if (this.ledger.notRunProven && this.ledger.state !== RequestState.Dispatched) {
       this.fail({ kind: 'deadline', message: 'the deadline has passed' });
     } else {
-      this.fail({ kind: 'outcome-unknown', message: 'no response before the deadline' });
+      this.fail({ kind: 'outcome-unknown', message: 'no answer before the deadline' });
     }
   }
 
