--- a/fuzz/change-notices.ts
+++ b/fuzz/change-notices.ts
@@ -1,9 +1,9 @@
-/** A view of engines in which what they say of themselves is changed before a router takes it. */
+/** Mutation helper that changes engine notices before a router receives them. */
 import type { RouterView } from '../src/lab/gateway-simulation/simulation-mutation.js';
 import type { EngineNotice } from '../src/protocol/inference/port.js';
 import { changePort } from './change-port.js';
 
-/** Changes each notice before a router takes it. */
+/** Returns a view factory that applies a change to every engine notice. */
 export function changeNotices(
   change: (notice: EngineNotice) => EngineNotice,
 ): () => (view: RouterView) => RouterView {
--- a/fuzz/change-port.ts
+++ b/fuzz/change-port.ts
@@ -1,7 +1,7 @@
-/** What a mutation changes of a router's access to engines. */
+/** Mutation helper that replaces calls of a router's inference port. */
 import type { InferencePort } from '../src/protocol/inference/port.js';
 
-/** The port with some of its calls replaced. */
+/** Returns a port that delegates to another one, except for the given calls. */
 export function changePort(port: InferencePort, changes: Partial<InferencePort>): InferencePort {
   return {
     send: (...args) => port.send(...args),
--- a/fuzz/commands.ts
+++ b/fuzz/commands.ts
@@ -1,4 +1,4 @@
-/** Commands of the stateful fuzz: requests of each kind and every fault the brief names. */
+/** Commands of the stateful fuzz test: requests of each kind, and faults of every component. */
 import fc from 'fast-check';
 import {
   WORLD_AGENTS,
@@ -10,21 +10,21 @@
 } from '../src/lab/simulation/world-settings.js';
 import type { World } from '../src/lab/simulation/world.js';
 
-/** What the commands themselves must remember: nothing, since the oracle reads the world. */
+/** Empty model: commands keep no state, and the oracle reads the simulation instead. */
 export type NoModel = Record<string, never>;
 
-/** A command over a simulated deployment. */
-export type WorldCommand = fc.AsyncCommand<NoModel, World>;
+/** A command that runs on a simulated deployment. */
+export type SimulationCommand = fc.AsyncCommand<NoModel, World>;
 
-/** Makes a command from a description and an action. */
+/** Creates a command that may run at any time. */
 function command(
   description: string,
-  action: (world: World) => Promise<void> | void,
-): WorldCommand {
+  action: (simulation: World) => Promise<void> | void,
+): SimulationCommand {
   return {
     check: () => true,
-    run: async (_model, world) => {
-      await action(world);
+    run: async (_model, simulation) => {
+      await action(simulation);
     },
     toString: () => description,
   };
@@ -41,11 +41,14 @@
 const generate = fc
   .tuple(agent, tenant, fc.nat(2), deadline, fc.integer({ min: 1, max: 4 }))
   .map(([agentIndex, name, branch, deadlineMs, count]) =>
-    command(`generate(${agentIndex}, ${name}, ${branch}, ${deadlineMs}, x${count})`, (world) => {
-      for (let index = 0; index < count; index += 1) {
-        world.generate(agentIndex, name, branch, deadlineMs);
-      }
-    }),
+    command(
+      `generate(${agentIndex}, ${name}, ${branch}, ${deadlineMs}, x${count})`,
+      (simulation) => {
+        for (let index = 0; index < count; index += 1) {
+          simulation.generate(agentIndex, name, branch, deadlineMs);
+        }
+      },
+    ),
   );
 
 const operate = fc
@@ -57,126 +60,126 @@
     deadline,
   )
   .map(([agentIndex, name, operation, key, deadlineMs]) =>
-    command(`operate(${agentIndex}, ${name}, ${operation}, ${key}, ${deadlineMs})`, (world) =>
-      world.operate(agentIndex, name, operation, key, deadlineMs),
+    command(`operate(${agentIndex}, ${name}, ${operation}, ${key}, ${deadlineMs})`, (simulation) =>
+      simulation.operate(agentIndex, name, operation, key, deadlineMs),
     ),
   );
 
 const hangUp = fc.nat(5).map((index) =>
-  command(`hangUp(${index})`, (world) => {
-    const open = world.requests.filter((request) => !request.isEnded);
+  command(`hangUp(${index})`, (simulation) => {
+    const open = simulation.requests.filter((request) => !request.isEnded);
     open[index % Math.max(1, open.length)]?.hangUp();
   }),
 );
 
 const advance = fc
   .constantFrom(5, 40, 150, 600, 2_500, 7_000)
-  .map((ms) => command(`advance(${ms})`, (world) => world.clock.advance(ms)));
+  .map((ms) => command(`advance(${ms})`, (simulation) => simulation.clock.advance(ms)));
 
 const crashRouter = router.map((index) =>
-  command(`crashRouter(${index})`, (world) => world.crashRouter(index)),
+  command(`crashRouter(${index})`, (simulation) => simulation.crashRouter(index)),
 );
 
 const restartRouters = fc.constant(undefined).map(() =>
-  command('restartRouters', (world) => {
-    for (let index = 0; index < WORLD_ROUTERS; index += 1) world.restartRouter(index);
+  command('restartRouters', (simulation) => {
+    for (let index = 0; index < WORLD_ROUTERS; index += 1) simulation.restartRouter(index);
   }),
 );
 
 const herdRestart = fc.constant(undefined).map(() =>
-  command('herdRestart', (world) => {
-    for (let index = 0; index < WORLD_ROUTERS; index += 1) world.crashRouter(index);
-    for (let index = 0; index < WORLD_ROUTERS; index += 1) world.restartRouter(index);
+  command('herdRestart', (simulation) => {
+    for (let index = 0; index < WORLD_ROUTERS; index += 1) simulation.crashRouter(index);
+    for (let index = 0; index < WORLD_ROUTERS; index += 1) simulation.restartRouter(index);
   }),
 );
 
 const stopRouter = router.map((index) =>
-  command(`stopRouter(${index})`, (world) => {
-    void world.stopRouter(index);
+  command(`stopRouter(${index})`, (simulation) => {
+    void simulation.stopRouter(index);
   }),
 );
 
 const stopAgent = agent.map((index) =>
-  command(`stopAgent(${index})`, (world) => {
-    void world.stopAgent(index);
+  command(`stopAgent(${index})`, (simulation) => {
+    void simulation.stopAgent(index);
   }),
 );
 
 const crashEngine = engine.map((index) =>
-  command(`crashEngine(${index})`, (world) => world.engines[index]?.crash()),
+  command(`crashEngine(${index})`, (simulation) => simulation.engines[index]?.crash()),
 );
 
 const restartEngine = fc.tuple(engine, version).map(([index, name]) =>
-  command(`restartEngine(${index}, ${name})`, (world) => {
-    const core = world.engines[index];
-    if (core && !core.isAlive) core.restart(world.weightsOf(name));
+  command(`restartEngine(${index}, ${name})`, (simulation) => {
+    const core = simulation.engines[index];
+    if (core && !core.isAlive) core.restart(simulation.weightsOf(name));
   }),
 );
 
 const loadWeights = fc
   .tuple(engine, version)
   .map(([index, name]) =>
-    command(`loadWeights(${index}, ${name})`, (world) => world.loadWeights(index, name)),
+    command(`loadWeights(${index}, ${name})`, (simulation) => simulation.loadWeights(index, name)),
   );
 
 const upgrade = version.map((name) =>
-  command(`upgrade(${name})`, (world) => {
-    for (let index = 0; index < WORLD_ENGINES; index += 1) world.loadWeights(index, name);
-    world.writeTemplates(name, 0);
+  command(`upgrade(${name})`, (simulation) => {
+    for (let index = 0; index < WORLD_ENGINES; index += 1) simulation.loadWeights(index, name);
+    simulation.writeTemplates(name, 0);
   }),
 );
 
 const stallEngine = fc
   .tuple(engine, fc.boolean())
   .map(([index, stalled]) =>
-    command(`stallEngine(${index}, ${stalled})`, (world) =>
-      world.engines[index]?.setStalled(stalled),
+    command(`stallEngine(${index}, ${stalled})`, (simulation) =>
+      simulation.engines[index]?.setStalled(stalled),
     ),
   );
 
 const crashBackend = backend.map((index) =>
-  command(`crashBackend(${index})`, (world) => world.backends[index]?.crash()),
+  command(`crashBackend(${index})`, (simulation) => simulation.backends[index]?.crash()),
 );
 
 const restartBackends = fc.constant(undefined).map(() =>
-  command('restartBackends', (world) => {
-    for (const core of world.backends) if (!core.isAlive) core.restart();
+  command('restartBackends', (simulation) => {
+    for (const core of simulation.backends) if (!core.isAlive) core.restart();
   }),
 );
 
 const pauseRouter = router.map((index) =>
-  command(`pauseRouter(${index})`, (world) => world.pauseRouter(index)),
+  command(`pauseRouter(${index})`, (simulation) => simulation.pauseRouter(index)),
 );
 
 const cut = fc
   .tuple(router, fc.constantFrom('router', 'agent', 'engine', 'backend'), fc.nat(3))
   .map(([index, kind, other]) =>
-    command(`cut(router-${index}, ${kind}-${other})`, (world) =>
-      world.cut(`router-${index}`, `${kind}-${other}`),
+    command(`cut(router-${index}, ${kind}-${other})`, (simulation) =>
+      simulation.cut(`router-${index}`, `${kind}-${other}`),
     ),
   );
 
-const heal = fc.constant(undefined).map(() => command('heal', (world) => world.heal()));
+const heal = fc.constant(undefined).map(() => command('heal', (simulation) => simulation.heal()));
 
 const platform = fc.constantFrom('down', 'up', 'slow').map((state) =>
-  command(`platform(${state})`, (world) => {
+  command(`platform(${state})`, (simulation) => {
     const SLOW_MS = 1_500;
-    world.store.faults.delayMs = state === 'slow' ? SLOW_MS : 0;
-    world.setPlatformDown(state === 'down');
+    simulation.store.faults.delayMs = state === 'slow' ? SLOW_MS : 0;
+    simulation.setPlatformDown(state === 'down');
   }),
 );
 
 const staleWatches = fc.integer({ min: 1, max: 4 }).map((count) =>
-  command(`staleWatches(${count})`, (world) => {
-    world.store.faults.staleWatches = count;
+  command(`staleWatches(${count})`, (simulation) => {
+    simulation.store.faults.staleWatches = count;
   }),
 );
 
 const network = fc
   .tuple(fc.constantFrom(1, 20, 150), fc.constantFrom(0, 0.05, 0.3))
   .map(([jitterMs, loss]) =>
-    command(`network(jitter ${jitterMs}, loss ${loss})`, (world) => {
-      Object.assign(world.network.faults, {
+    command(`network(jitter ${jitterMs}, loss ${loss})`, (simulation) => {
+      Object.assign(simulation.network.faults, {
         jitterMs,
         datagramLoss: loss,
         datagramDuplication: loss,
@@ -187,8 +190,8 @@
 const feedFaults = fc
   .tuple(engine, fc.constantFrom(0, 0.2), fc.constantFrom(50, 2_000))
   .map(([index, lossChance, delayMs]) =>
-    command(`feedFaults(${index}, ${lossChance}, ${delayMs})`, (world) => {
-      const core = world.engines[index];
+    command(`feedFaults(${index}, ${lossChance}, ${delayMs})`, (simulation) => {
+      const core = simulation.engines[index];
       if (core) Object.assign(core.eventFaults, { lossChance, delayMs });
     }),
   );
@@ -196,17 +199,17 @@
 const leaving = fc
   .tuple(engine, fc.boolean())
   .map(([index, value]) =>
-    command(`leaving(${index}, ${value})`, (world) => world.setLeaving(index, value)),
+    command(`leaving(${index}, ${value})`, (simulation) => simulation.setLeaving(index, value)),
   );
 
 const configure = fc.tuple(version, fc.nat(3)).map(([name, priority]) =>
-  command(`configure(${name}, ${priority})`, (world) => {
-    world.writeTemplates(name, priority);
+  command(`configure(${name}, ${priority})`, (simulation) => {
+    simulation.writeTemplates(name, priority);
   }),
 );
 
-/** All commands; requests and time come most often. */
-export function worldCommands(maximum: number): fc.Arbitrary<Iterable<WorldCommand>> {
+/** Generates sequences of commands. Requests and clock advances are drawn most often. */
+export function simulationCommands(maximum: number): fc.Arbitrary<Iterable<SimulationCommand>> {
   return fc.commands<NoModel, World, false>(
     [
       generate,
@@ -244,7 +247,7 @@
       leaving,
       leaving,
       configure,
-    ] as fc.Arbitrary<WorldCommand>[],
+    ] as fc.Arbitrary<SimulationCommand>[],
     { maxCommands: maximum, size: 'max' },
   );
 }
--- a/fuzz/engine-life-mutations.ts
+++ b/fuzz/engine-life-mutations.ts
@@ -1,4 +1,7 @@
-/** Routers that keep one thing of an engine's former life, and one that trusts odd entries. */
+/**
+ * Mutations of routers: state of an engine's previous incarnation that is kept after a restart, and
+ * malformed entries that are trusted.
+ */
 import type { ObjectDecoder } from '../src/coordination/gateway/object-decoder.js';
 import type { RouterView } from '../src/lab/gateway-simulation/simulation-mutation.js';
 import type { StoredEngine } from '../src/lab/gateway-simulation/stored-engine.js';
@@ -6,7 +9,7 @@
 import { changePort } from './change-port.js';
 import type { GatewayMutation } from './gateway-mutations.js';
 
-/** Lets a decoder change each entry of an engine before a router sees it. */
+/** Wraps a decoder so that each decoded engine record is changed. */
 function changeRecords(
   decoder: ObjectDecoder,
   change: (record: EngineRecord) => EngineRecord,
@@ -20,7 +23,7 @@
   };
 }
 
-/** The newest version that an engine has taken in any life is believed of its present one, by all routers. */
+/** All routers assume that an engine still has the newest version of any of its incarnations. */
 function keepVersions(): (view: RouterView) => RouterView {
   const newest = new Map<string, number>();
   return ({ engines, decoder }) => ({
@@ -41,7 +44,7 @@
   });
 }
 
-/** The most orders that an engine has counted in any life are expected of its present one. */
+/** Routers expect the highest command sequence of any incarnation from the current one. */
 function keepSequences({ engines, decoder }: RouterView): RouterView {
   const highest = new Map<string, number>();
   return {
@@ -58,7 +61,7 @@
   };
 }
 
-/** The start of an engine is ignored wherever it is stated: all its lives are taken for one. */
+/** Removes the start time of engines, so that all incarnations look like one. */
 function ignoreStarts({ engines, decoder }: RouterView): RouterView {
   const bornMs = undefined;
   return {
@@ -78,7 +81,7 @@
   };
 }
 
-/** The event feed at an address goes on from where it stood in any life. */
+/** Continues the event feed at an address from the highest position of any incarnation. */
 function continueFeeds(): (view: RouterView) => RouterView {
   const positions = new Map<string, number>();
   return ({ engines, decoder }) => ({
@@ -94,8 +97,8 @@
   });
 }
 
-/** Neither its start nor the epoch of its feed shows that an engine has begun anew. */
-function keepPrefixes(view: RouterView): RouterView {
+/** Hides restarts: removes the start time and fixes the epoch of the event feed. */
+function keepCachedPrefixes(view: RouterView): RouterView {
   const { engines, decoder } = ignoreStarts(view);
   const epoch = 1;
   return {
@@ -107,7 +110,7 @@
   };
 }
 
-/** An entry in a state that is not known is taken for one of an engine that is ready. */
+/** Treats entries with an unknown state as entries of ready engines. */
 function trustStates({ engines, decoder }: RouterView): RouterView {
   return {
     engines,
@@ -123,8 +126,8 @@
   };
 }
 
-/** The list. */
-export const ENGINE_LIFE_MUTATIONS: readonly GatewayMutation[] = [
+/** Mutations that the fuzz test on engine restarts must detect. */
+export const ENGINE_RESTART_MUTATIONS: readonly GatewayMutation[] = [
   {
     name: 'versions of a former life are believed of the present one',
     rule: 'weights-in-force',
@@ -147,14 +150,14 @@
   },
 ];
 
-/** A router whose beliefs of what engines keep are wrong. */
-export interface KeptPrefixesMutation {
+/** A mutation that makes a router's estimate of cached prefixes wrong. */
+export interface CachedPrefixesMutation {
   readonly name: string;
   readonly makeView: () => (view: RouterView) => RouterView;
 }
 
-/** Those that the fuzz on kept prefixes must find. */
-export const KEPT_PREFIXES_MUTATIONS: readonly KeptPrefixesMutation[] = [
+/** Mutations that the fuzz test on cached prefixes must detect. */
+export const CACHED_PREFIXES_MUTATIONS: readonly CachedPrefixesMutation[] = [
   { name: 'the feed of a former life is continued', makeView: continueFeeds },
-  { name: 'the prefixes of a former life are believed kept', makeView: () => keepPrefixes },
+  { name: 'the prefixes of a former life are believed kept', makeView: () => keepCachedPrefixes },
 ];
--- a/fuzz/engine-limit-mutations.ts
+++ b/fuzz/engine-limit-mutations.ts
@@ -1,9 +1,9 @@
-/** Routers that do not keep to limits together, which the fuzz on limits must then find. */
+/** Mutations that make routers exceed engine limits. */
 import { ROUTERS } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import { changeNotices } from './change-notices.js';
 import type { GatewayMutation } from './gateway-mutations.js';
 
-/** The list. */
+/** Mutations that the fuzz test on engine limits must detect. */
 export const ENGINE_LIMIT_MUTATIONS: readonly GatewayMutation[] = [
   {
     name: 'limits that engines name are passed over',
--- a/fuzz/engine-notice-commands.ts
+++ b/fuzz/engine-notice-commands.ts
@@ -1,79 +1,82 @@
-/** Commands of the fuzz on what engines say of themselves: engines that leave unheard, and that ask for pauses. */
+/** Fuzz commands on engine notices: shutdowns that the store misses, and requested backoffs. */
 import fc from 'fast-check';
 import { EngineMode } from '../src/lab/gateway-simulation/simulated-engine.js';
 import { type GatewayCommand, command } from './gateway-command.js';
 import { type CommandSource, GATEWAY_COMMANDS, engine } from './gateway-commands.js';
 
-const leaveEngine = engine.map((index) =>
-  command(`leaveEngine(${index})`, (world) => world.fleet.leave(index)),
+const announceShutdown = engine.map((index) =>
+  command(`announceShutdown(${index})`, (simulation) => simulation.fleet.leave(index)),
 );
 
-/** Engines leave while the store is out, and requests come all the while. */
-const leaveWithoutStore = fc
+/** An engine starts its shutdown during a store outage, under continuous traffic. */
+const announceShutdownWithoutStore = fc
   .tuple(engine, fc.constantFrom(4_000, 9_000), fc.boolean())
-  .map(([index, outMs, lapses]) =>
-    command(`leaveWithoutStore(${index}, ${outMs}, ${lapses})`, async (world) => {
-      const GAP_MS = 60;
-      const REENTER_MS = 1_200;
-      if (lapses) world.lapseEntries(outMs, REENTER_MS);
-      else world.stopStore(outMs);
-      world.fleet.leave(index);
-      for (let spentMs = 0; spentMs < outMs; spentMs += GAP_MS) {
-        const kind = spentMs % (2 * GAP_MS) === 0 ? 'plain-safe' : 'stream-resumable';
-        world.request(spentMs / GAP_MS, kind, 'tenant-2', 0);
-        await world.clock.advance(GAP_MS);
-      }
-    }),
+  .map(([index, outageMs, entriesExpire]) =>
+    command(
+      `announceShutdownWithoutStore(${index}, ${outageMs}, ${entriesExpire})`,
+      async (simulation) => {
+        const GAP_MS = 60;
+        const REWRITE_DELAY_MS = 1_200;
+        if (entriesExpire) simulation.lapseEntries(outageMs, REWRITE_DELAY_MS);
+        else simulation.stopStore(outageMs);
+        simulation.fleet.leave(index);
+        for (let elapsedMs = 0; elapsedMs < outageMs; elapsedMs += GAP_MS) {
+          const kind = elapsedMs % (2 * GAP_MS) === 0 ? 'plain-safe' : 'stream-resumable';
+          simulation.request(elapsedMs / GAP_MS, kind, 'tenant-2', 0);
+          await simulation.clock.advance(GAP_MS);
+        }
+      },
+    ),
   );
 
-/** Some engines, or all of them, turn requests away and ask for a pause; their refusals go on as before if not. */
-const askForPause = fc
+/** Some engines, or all, reject requests as busy, with or without a backoff. */
+const requestBackoff = fc
   .tuple(engine, fc.constantFrom(1, 2, 5), fc.constantFrom(undefined, 400, 1_500, 3_000, 12_000))
   .map(([first, count, backoffMs]) =>
-    command(`askForPause(${first}, ${count}, ${backoffMs})`, (world) => {
+    command(`requestBackoff(${first}, ${count}, ${backoffMs})`, (simulation) => {
       for (let index = first; index < first + count; index += 1) {
-        world.engine(index).mode = EngineMode.Busy;
-        world.engine(index).backoffMs = backoffMs;
+        simulation.engine(index).mode = EngineMode.Busy;
+        simulation.engine(index).backoffMs = backoffMs;
       }
     }),
   );
 
 const recoverEngines = fc.constant(
-  command('recoverEngines()', (world) => {
-    const MOST_ENGINES = 10;
-    for (let index = 0; index < MOST_ENGINES; index += 1) {
-      world.engine(index).mode = EngineMode.Sound;
+  command('recoverEngines()', (simulation) => {
+    const MAXIMUM_ENGINES = 10;
+    for (let index = 0; index < MAXIMUM_ENGINES; index += 1) {
+      simulation.engine(index).mode = EngineMode.Sound;
     }
   }),
 );
 
-/** An engine asks for a pause, and its entry lapses and comes back before the pause is over. */
-const lapseInPause = engine.map((index) =>
-  command(`lapseInPause(${index})`, async (world) => {
+/** An engine's entry expires and is written again while a backoff that it requested lasts. */
+const expireEntryDuringBackoff = engine.map((index) =>
+  command(`expireEntryDuringBackoff(${index})`, async (simulation) => {
     const GAP_MS = 25;
     const REQUESTS = 160;
-    const OUT_MS = 400;
-    const REENTER_MS = 900;
-    world.engine(index).mode = EngineMode.Busy;
-    world.engine(index).backoffMs = 8_000;
-    for (let turn = 0; turn < REQUESTS; turn += 1) {
-      if (turn === REQUESTS / 8) world.lapseEntries(OUT_MS, REENTER_MS);
-      world.request(turn, turn % 2 === 0 ? 'plain-safe' : 'stream-once', 'tenant-1', 0);
-      await world.clock.advance(GAP_MS);
+    const OUTAGE_MS = 400;
+    const REWRITE_DELAY_MS = 900;
+    simulation.engine(index).mode = EngineMode.Busy;
+    simulation.engine(index).backoffMs = 8_000;
+    for (let step = 0; step < REQUESTS; step += 1) {
+      if (step === REQUESTS / 8) simulation.lapseEntries(OUTAGE_MS, REWRITE_DELAY_MS);
+      simulation.request(step, step % 2 === 0 ? 'plain-safe' : 'stream-once', 'tenant-1', 0);
+      await simulation.clock.advance(GAP_MS);
     }
   }),
 );
 
 const ENGINE_NOTICE_COMMANDS: readonly fc.Arbitrary<GatewayCommand>[] = [
-  leaveEngine,
-  leaveEngine,
-  leaveWithoutStore,
-  askForPause,
-  askForPause,
+  announceShutdown,
+  announceShutdown,
+  announceShutdownWithoutStore,
+  requestBackoff,
+  requestBackoff,
   recoverEngines,
-  lapseInPause,
+  expireEntryDuringBackoff,
 ];
 
-/** Sequences of commands in which engines' own words meet every other fault. */
+/** Generates sequences that combine engine notices with every other fault. */
 export const engineNoticeCommands: CommandSource = (maximum) =>
   fc.commands([...GATEWAY_COMMANDS, ...ENGINE_NOTICE_COMMANDS], { maxCommands: maximum });
--- a/fuzz/engine-notice-mutations.ts
+++ b/fuzz/engine-notice-mutations.ts
@@ -1,8 +1,8 @@
-/** Routers that do not take what engines say of themselves, which the fuzz on notices must then find. */
+/** Mutations that make routers ignore engine notices. */
 import { changeNotices } from './change-notices.js';
 import type { GatewayMutation } from './gateway-mutations.js';
 
-/** The list. */
+/** Mutations that the fuzz test on engine notices must detect. */
 export const ENGINE_NOTICE_MUTATIONS: readonly GatewayMutation[] = [
   {
     name: 'only the store tells which engines leave',
--- a/fuzz/gateway-command.ts
+++ b/fuzz/gateway-command.ts
@@ -1,22 +1,22 @@
-/** A step of the gateway's fuzz. */
+/** Command type of the gateway's fuzz tests. */
 import type fc from 'fast-check';
 import type { GatewaySimulation } from '../src/lab/gateway-simulation/gateway-simulation.js';
 
-/** The oracle reads the world; commands remember nothing. */
+/** Empty model: commands keep no state, and the oracle reads the simulation instead. */
 export type NoModel = Record<string, never>;
 
-/** A command over the simulated deployment. */
+/** A command that runs on the simulated deployment. */
 export type GatewayCommand = fc.AsyncCommand<NoModel, GatewaySimulation>;
 
-/** A command that may come at any time, by its description, which is what a failing run prints. */
+/** Creates a command that may run at any time. A failing run prints its description. */
 export function command(
   description: string,
-  action: (world: GatewaySimulation) => Promise<void> | void,
+  action: (simulation: GatewaySimulation) => Promise<void> | void,
 ): GatewayCommand {
   return {
     check: () => true,
-    run: async (_model, world) => {
-      await action(world);
+    run: async (_model, simulation) => {
+      await action(simulation);
     },
     toString: () => description,
   };
--- a/fuzz/gateway-main.ts
+++ b/fuzz/gateway-main.ts
@@ -1,5 +1,8 @@
-/** `npm run fuzz:gateway -- SEED RUNS [lives|limits|notices|engine-limits|restorations]`: fuzzes the gateway beyond what CI does. */
-import { engineLifeCommands } from './engine-life-commands.js';
+/**
+ * `npm run fuzz:gateway -- SEED RUNS [lives|limits|notices|engine-limits|restorations]`: runs the
+ * gateway's fuzz test with any seed and number of runs.
+ */
+import { engineRestartCommands } from './engine-life-commands.js';
 import { engineLimitCommands } from './engine-limit-commands.js';
 import { engineNoticeCommands } from './engine-notice-commands.js';
 import { type CommandSource, gatewayCommands } from './gateway-commands.js';
@@ -7,9 +10,9 @@
 import { quotaCommands } from './quota-commands.js';
 import { storeRestorationCommands } from './store-restoration-commands.js';
 
-/** What the gateway is fuzzed on beside its usual faults: lives of engines, limits of tenants or engines, engines' own words, restorations of the store. */
+/** Command sources by the name of the focus on the command line. */
 const SOURCES: ReadonlyMap<string, CommandSource> = new Map([
-  ['lives', engineLifeCommands],
+  ['lives', engineRestartCommands],
   ['limits', quotaCommands],
   ['notices', engineNoticeCommands],
   ['engine-limits', engineLimitCommands],
--- a/fuzz/gateway-mutations.ts
+++ b/fuzz/gateway-mutations.ts
@@ -1,20 +1,20 @@
-/** Ways to weaken a router, each with the rule that the fuzz must then find broken. */
+/** Mutations of routers, each with the rule whose violation the fuzz test must detect. */
 import type { ObjectDecoder } from '../src/coordination/gateway/object-decoder.js';
 import type { GatewayRule } from '../src/lab/gateway-simulation/gateway-oracle.js';
 import type { SimulationMutation } from '../src/lab/gateway-simulation/simulation-mutation.js';
 import { simulationSettings } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { RoutingConfiguration } from '../src/state/routing/configuration.js';
 
-/** A weakened router. */
+/** A mutation and the rule that it breaks. */
 export interface GatewayMutation {
   readonly name: string;
   readonly rule: GatewayRule;
   readonly mutation: SimulationMutation;
-  /** Seed of the fuzz that finds it; left out: the first. */
+  /** Seed with which the fuzz test detects the mutation; the first seed by default. */
   readonly seed?: number;
 }
 
-/** Lets a decoder change each configuration before a router sees it. */
+/** Creates a mutation that changes each decoded configuration. */
 function changeConfiguration(
   change: (configuration: RoutingConfiguration) => RoutingConfiguration,
 ): SimulationMutation {
@@ -30,7 +30,7 @@
   };
 }
 
-/** The list. */
+/** Mutations that the gateway's fuzz test must detect. */
 export const GATEWAY_MUTATIONS: readonly GatewayMutation[] = [
   {
     name: 'proofs of the configuration hold for ever',
--- a/fuzz/gateway-run.ts
+++ b/fuzz/gateway-run.ts
@@ -1,4 +1,4 @@
-/** Runs the gateway's stateful fuzz and reports a failing run's seed and shrunk commands. */
+/** Runs the gateway's stateful fuzz test; reports the seed and shrunk commands of a failure. */
 import fc from 'fast-check';
 import { findBreaches } from '../src/lab/gateway-simulation/gateway-oracle.js';
 import { GatewaySimulation } from '../src/lab/gateway-simulation/gateway-simulation.js';
@@ -8,41 +8,44 @@
 
 const MAXIMUM_COMMANDS = 40;
 
-/** Result of a fuzz. */
+/** Result of a fuzz test. */
 export type GatewayFuzzResult =
   | { readonly kind: 'passed'; readonly runs: number }
   | { readonly kind: 'failed'; readonly runs: number; readonly report: string };
 
-/** Options of a fuzz. */
+/** Options of a fuzz test. */
 export interface GatewayFuzzOptions {
   readonly seed: number;
   readonly runs: number;
   readonly mutation?: SimulationMutation;
-  /** What is done to the deployment; left out: every command but those on lives of engines and on limits. */
+  /** Commands to draw from; those of `gateway-commands.ts` by default. */
   readonly commands?: CommandSource;
-  /** Whether a failing run is made smaller before it is reported. */
+  /** Whether a failing run is shrunk before it is reported. */
   readonly isShrunk?: boolean;
 }
 
-/** Runs commands on a fresh deployment and throws where the oracle finds a broken rule. */
+/** Runs commands on a new deployment and throws if the oracle finds a rule violation. */
 export async function runGatewayCommands(
   seed: number,
   commands: Iterable<GatewayCommand>,
   mutation: SimulationMutation,
 ): Promise<void> {
-  const world = await GatewaySimulation.create(seed, mutation);
-  await fc.asyncModelRun(() => ({ model: {}, real: world }), commands);
-  await world.settle();
-  const breaches = findBreaches(world);
+  const simulation = await GatewaySimulation.create(seed, mutation);
+  await fc.asyncModelRun(() => ({ model: {}, real: simulation }), commands);
+  await simulation.settle();
+  const breaches = findBreaches(simulation);
   if (breaches.length === 0) return;
   throw new Error(breaches.map(({ rule, detail }) => `rule ${rule}: ${detail}`).join('\n'));
 }
 
-/** Fuzzes with a fixed seed. */
+/** Runs the fuzz test with a fixed seed. */
 export async function fuzzGateway(options: GatewayFuzzOptions): Promise<GatewayFuzzResult> {
   const source = options.commands ?? gatewayCommands;
-  const property = fc.asyncProperty(fc.nat(), source(MAXIMUM_COMMANDS), (worldSeed, commands) =>
-    runGatewayCommands(worldSeed, commands, options.mutation ?? {}),
+  const property = fc.asyncProperty(
+    fc.nat(),
+    source(MAXIMUM_COMMANDS),
+    (simulationSeed, commands) =>
+      runGatewayCommands(simulationSeed, commands, options.mutation ?? {}),
   );
   const details = await fc.check(property, {
     seed: options.seed,
--- a/fuzz/keeping-engine.ts
+++ b/fuzz/keeping-engine.ts
@@ -1,4 +1,4 @@
-/** Stand-in of an engine that reports which parts of prompts it keeps. */
+/** Simulated engine that reports which parts of prompts it caches. */
 import { ProtocolFailure } from '../src/protocol/errors.js';
 import type {
   CacheContents,
@@ -8,108 +8,108 @@
 } from '../src/protocol/inference/port.js';
 import type { Clock } from '../src/runtime/clock.js';
 
-/** The salt of everything that is kept. */
+/** Cache salt of all parts. */
 export const SALT = 'salt';
 
-/** What one life has kept and told. */
-interface Life {
+/** Cache and event feed of one incarnation. */
+interface Incarnation {
   readonly bornMs: number;
   readonly events: CacheEvent[];
-  readonly held: Map<string, number>;
+  readonly cached: Map<string, number>;
 }
 
-/** Answers of the past that are on their way may be this late. */
-const USUAL_WAY_MS = 1;
+/** Network delay of a response for which none is set. */
+const DEFAULT_DELAY_MS = 1;
 
-/** One engine in all its lives. */
-export class KeepingEngine {
-  private life: Life;
+/** An engine over all its incarnations. */
+export class CachingEngine {
+  private incarnation: Incarnation;
   private readonly waiting = new Set<() => void>();
-  /** How much longer the next answers are on their way, in milliseconds. */
-  readonly delaysMs: number[] = [];
+  /** Network delays of the next responses, in milliseconds. */
+  readonly responseDelaysMs: number[] = [];
 
   constructor(private readonly clock: Clock) {
-    this.life = this.begin();
+    this.incarnation = this.startIncarnation();
   }
 
-  /** Start of the present life in Unix milliseconds. */
+  /** Start time of the current incarnation, in Unix milliseconds. */
   get bornMs(): number {
-    return this.life.bornMs;
+    return this.incarnation.bornMs;
   }
 
-  /** Tokens that the present life keeps of a part. */
+  /** Number of tokens of a part that the current incarnation caches. */
   tokensOf(partId: string): number {
-    return this.life.held.get(partId) ?? 0;
+    return this.incarnation.cached.get(partId) ?? 0;
   }
 
-  /** Keeps so many tokens of a part; 0: it drops the part. */
-  keep(partId: string, tokens: number): void {
-    this.life.events.push({ salt: SALT, partId, tokens });
-    if (tokens > 0) this.life.held.set(partId, tokens);
-    else this.life.held.delete(partId);
-    this.wake();
+  /** Sets the number of cached tokens of a part; 0 evicts the part. */
+  setCachedTokens(partId: string, tokens: number): void {
+    this.incarnation.events.push({ salt: SALT, partId, tokens });
+    if (tokens > 0) this.incarnation.cached.set(partId, tokens);
+    else this.incarnation.cached.delete(partId);
+    this.notifyWaiting();
   }
 
-  /** Starts again: it keeps nothing, and its events are counted anew. */
+  /** Restarts the engine with an empty cache and a new event feed. */
   restart(): void {
-    this.life = this.begin();
-    this.wake();
+    this.incarnation = this.startIncarnation();
+    this.notifyWaiting();
   }
 
-  /** The calls of a router that follows it. */
+  /** Inference port for a router that follows the event feed. */
   get port(): Pick<InferencePort, 'cacheEvents' | 'cacheContents' | 'retain'> {
     return {
       cacheEvents: (_address, since, waitMs) => this.eventsAfter(since, waitMs),
-      cacheContents: () => this.onWay(this.contents()),
+      cacheContents: () => this.delayed(this.contents()),
       retain: () => undefined,
     };
   }
 
-  private begin(): Life {
+  private startIncarnation(): Incarnation {
     const bornMs = Math.round(this.clock.wallNow());
-    const formerMs = this.life?.bornMs ?? -Infinity;
-    return { bornMs: Math.max(bornMs, formerMs + 1), events: [], held: new Map() };
+    const previousMs = this.incarnation?.bornMs ?? -Infinity;
+    return { bornMs: Math.max(bornMs, previousMs + 1), events: [], cached: new Map() };
   }
 
-  private wake(): void {
-    for (const check of [...this.waiting]) check();
+  private notifyWaiting(): void {
+    for (const respond of [...this.waiting]) respond();
   }
 
   private contents(): CacheContents {
-    const { bornMs, events, held } = this.life;
-    const parts = [...held].map(([partId, tokens]) => ({ salt: SALT, partId, tokens }));
+    const { bornMs, events, cached } = this.incarnation;
+    const parts = [...cached].map(([partId, tokens]) => ({ salt: SALT, partId, tokens }));
     return { bornMs, epoch: bornMs, next: events.length, held: parts };
   }
 
-  /** Answers once there are events, after the wait, or with a broken connection at a restart. */
+  /** Resolves on new events or after the wait; rejects if the engine restarts meanwhile. */
   private eventsAfter(since: number, waitMs: number): Promise<CacheEventPage> {
-    const asked = this.life;
+    const queried = this.incarnation;
     return new Promise((resolve, reject) => {
       const finish = (): void => {
-        this.waiting.delete(check);
+        this.waiting.delete(respondIfReady);
         timer.cancel();
-        const next = Math.max(since, asked.events.length);
-        const events = asked.events.slice(since);
-        const { bornMs } = asked;
-        resolve(this.onWay({ bornMs, epoch: bornMs, next, hasGap: false, events }));
+        const next = Math.max(since, queried.events.length);
+        const events = queried.events.slice(since);
+        const { bornMs } = queried;
+        resolve(this.delayed({ bornMs, epoch: bornMs, next, hasGap: false, events }));
       };
-      const check = (): void => {
-        if (asked.events.length > since) finish();
-        else if (asked !== this.life) {
-          this.waiting.delete(check);
+      const respondIfReady = (): void => {
+        if (queried.events.length > since) finish();
+        else if (queried !== this.incarnation) {
+          this.waiting.delete(respondIfReady);
           timer.cancel();
           reject(new ProtocolFailure({ kind: 'interrupted', address: '', reason: 'restart' }));
         }
       };
       const timer = this.clock.setTimer(waitMs, finish);
-      this.waiting.add(check);
-      check();
+      this.waiting.add(respondIfReady);
+      respondIfReady();
     });
   }
 
-  /** What was answered arrives even if the life that answered has ended meanwhile. */
-  private onWay<Answer>(answer: Answer): Promise<Answer> {
-    const delayMs = this.delaysMs.shift() ?? USUAL_WAY_MS;
+  /** Delays a response. It arrives even if the incarnation that sent it has ended meanwhile. */
+  private delayed<Answer>(answer: Answer): Promise<Answer> {
+    const delayMs = this.responseDelaysMs.shift() ?? DEFAULT_DELAY_MS;
     return new Promise((resolve) => this.clock.setTimer(delayMs, () => resolve(answer)));
   }
 }
--- a/fuzz/kept-prefixes-fuzz.ts
+++ b/fuzz/kept-prefixes-fuzz.ts
@@ -1,4 +1,4 @@
-/** Fuzzes what a router believes that an engine keeps, while the engine restarts under its name. */
+/** Fuzz test of a router's estimate of cached prefixes while the engine restarts under its name. */
 import fc from 'fast-check';
 import type { GroupMembership } from '../src/coordination/gateway/group-membership.js';
 import { GatewayStatistics } from '../src/coordination/gateway/gateway-statistics.js';
@@ -18,26 +18,26 @@
 import { EngineHealth } from '../src/state/routing/engine-health.js';
 import { CachedPrefixes } from '../src/state/routing/cached-prefixes.js';
 import type { GatewayFuzzResult } from './gateway-run.js';
-import { KeepingEngine, SALT } from './keeping-engine.js';
+import { CachingEngine, SALT } from './keeping-engine.js';
 import { positionAt } from '../test/helpers/positions.js';
 
-/** One thing that happens. */
+/** A step of a run. */
 type Action =
-  | { readonly kind: 'keep'; readonly part: number; readonly tokens: number }
+  | { readonly kind: 'set-cached-tokens'; readonly part: number; readonly tokens: number }
   | { readonly kind: 'restart'; readonly entryDelayMs: number }
-  | { readonly kind: 'delay-answers'; readonly delaysMs: readonly number[] }
+  | { readonly kind: 'delay-responses'; readonly delaysMs: readonly number[] }
   | { readonly kind: 'advance'; readonly spanMs: number };
 
 const NAME = 'engine-1';
 const PARTS = 6;
-/** All answers have arrived and every pause after a failure is over. */
+/** Long enough for every delayed response to arrive and every retry delay to pass. */
 const SETTLE_MS = 10_000;
 
 const action: fc.Arbitrary<Action> = fc.oneof(
   {
     weight: 4,
     arbitrary: fc.record({
-      kind: fc.constant('keep' as const),
+      kind: fc.constant('set-cached-tokens' as const),
       part: fc.nat(PARTS - 1),
       tokens: fc.constantFrom(0, 100, 200),
     }),
@@ -47,7 +47,7 @@
     entryDelayMs: fc.constantFrom(0, 300, 2_000),
   }),
   fc.record({
-    kind: fc.constant('delay-answers' as const),
+    kind: fc.constant('delay-responses' as const),
     delaysMs: fc.array(fc.constantFrom(1, 400, 1_500), { minLength: 1, maxLength: 4 }),
   }),
   {
@@ -59,13 +59,13 @@
   },
 );
 
-/** One router and the engine that it follows. */
-class FollowedEngine {
+/** A router's view of one simulated engine. */
+class EngineObserver {
   readonly clock = new VirtualClock();
-  readonly engine = new KeepingEngine(this.clock);
-  readonly kept = new CachedPrefixes();
+  readonly engine = new CachingEngine(this.clock);
+  readonly cachedPrefixes = new CachedPrefixes();
   private readonly engines: ListedEngines;
-  private readonly formerIds: string[] = [];
+  private readonly previousIds: string[] = [];
   private revision = 0;
 
   constructor(changeView: (view: RouterView) => RouterView) {
@@ -77,7 +77,7 @@
       ...changeView(view),
       configuration,
       health: new EngineHealth(),
-      kept: this.kept,
+      kept: this.cachedPrefixes,
       group: { own, working: [own] } as unknown as GroupMembership,
       statistics: new GatewayStatistics(),
       clock: this.clock,
@@ -87,41 +87,44 @@
       entryLifetimeMs: 3_600,
     });
     this.engines.startFeeds();
-    this.enter();
+    this.writeEntry();
   }
 
-  async take(each: Action): Promise<void> {
-    if (each.kind === 'keep') this.engine.keep(`part-${each.part}`, each.tokens);
-    else if (each.kind === 'delay-answers') this.engine.delaysMs.push(...each.delaysMs);
+  async apply(each: Action): Promise<void> {
+    if (each.kind === 'set-cached-tokens')
+      this.engine.setCachedTokens(`part-${each.part}`, each.tokens);
+    else if (each.kind === 'delay-responses') this.engine.responseDelaysMs.push(...each.delaysMs);
     else if (each.kind === 'advance') await this.clock.advance(each.spanMs);
     else {
-      this.formerIds.push(this.presentId);
+      this.previousIds.push(this.currentId);
       this.engine.restart();
-      this.clock.setTimer(each.entryDelayMs, () => this.enter());
+      this.clock.setTimer(each.entryDelayMs, () => this.writeEntry());
     }
   }
 
-  /** Lets everything come to rest; answers what is believed and isn't so. */
-  async wrongBeliefs(): Promise<string[]> {
+  /** Waits until the state is stable, then returns the wrong estimates. */
+  async findMismatches(): Promise<string[]> {
     await this.clock.advance(SETTLE_MS);
     this.engines.stop();
-    const { presentId } = this;
+    const { currentId } = this;
     const wrong = Array.from({ length: PARTS }, (_, part) => `part-${part}`).flatMap((id) => {
       const tokens = this.engine.tokensOf(id);
-      const believed =
-        this.kept.leadingTokens(SALT, [{ id, tokens: Infinity }]).get(presentId) ?? 0;
-      return believed === tokens ? [] : [`${id}: ${believed} believed of ${tokens}`];
+      const estimated =
+        this.cachedPrefixes.leadingTokens(SALT, [{ id, tokens: Infinity }]).get(currentId) ?? 0;
+      return estimated === tokens ? [] : [`${id}: ${estimated} tokens estimated, ${tokens} cached`];
     });
-    const former = this.formerIds.filter((id) => id !== presentId && this.kept.sizeOf(id) > 0);
-    return [...wrong, ...former.map((id) => `${id} is over and believed to keep parts`)];
+    const stale = this.previousIds.filter(
+      (id) => id !== currentId && this.cachedPrefixes.sizeOf(id) > 0,
+    );
+    return [...wrong, ...stale.map((id) => `${id} has ended and still has cached parts`)];
   }
 
-  private get presentId(): string {
+  private get currentId(): string {
     return this.engines.registry.findByName(NAME)?.record.id ?? NAME;
   }
 
-  /** The present life writes its entry. */
-  private enter(): void {
+  /** Writes the store entry of the current incarnation. */
+  private writeEntry(): void {
     this.revision += 1;
     const spec = {
       name: NAME,
@@ -138,17 +141,20 @@
   }
 }
 
-/** Fuzzes with a fixed seed: at rest, a router believes just what the engine's present life keeps. */
-export async function fuzzKeptPrefixes(
+/**
+ * Checks with a fixed seed that a router's estimate converges to what the engine's current
+ * incarnation caches.
+ */
+export async function fuzzCachedPrefixes(
   seed: number,
   runs: number,
   makeView: () => (view: RouterView) => RouterView = () => (view) => view,
 ): Promise<GatewayFuzzResult> {
   const property = fc.asyncProperty(fc.array(action, { maxLength: 30 }), async (actions) => {
-    const world = new FollowedEngine(makeView());
-    for (const each of actions) await world.take(each);
-    const wrong = await world.wrongBeliefs();
-    if (wrong.length > 0) throw new Error(wrong.join('\n'));
+    const observer = new EngineObserver(makeView());
+    for (const each of actions) await observer.apply(each);
+    const mismatches = await observer.findMismatches();
+    if (mismatches.length > 0) throw new Error(mismatches.join('\n'));
   });
   const details = await fc.check(property, { seed, numRuns: runs });
   if (!details.failed) return { kind: 'passed', runs: details.numRuns };
--- a/fuzz/main.ts
+++ b/fuzz/main.ts
@@ -1,4 +1,4 @@
-/** `npm run fuzz -- --minutes N [--seed S] [--runs R]`: a long fuzz with a seed of its own. */
+/** `npm run fuzz -- --minutes N [--seed S] [--runs R]`: runs the fuzz test for a given time. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import { fuzz } from './run.js';
--- a/fuzz/mutate.ts
+++ b/fuzz/mutate.ts
@@ -1,4 +1,7 @@
-/** `npm run mutations`: switches each protection off and reports whether and when the fuzz finds it. */
+/**
+ * Disables each protection in turn and reports whether, and after how many runs, the fuzz test
+ * detects it.
+ */
 import { ALL_PROTECTIONS } from '../src/coordination/router/settings.js';
 import { MUTATIONS } from './mutations.js';
 import { fuzz } from './run.js';
--- a/fuzz/mutations.ts
+++ b/fuzz/mutations.ts
@@ -1,16 +1,16 @@
-/** Each protection switched off in turn, with the invariant whose breach the fuzz must then find. */
+/** Protections to disable in turn, with the invariant whose violation the fuzz test must detect. */
 import type { Protections } from '../src/coordination/router/settings.js';
 
-/** A protection and what breaks without it. */
+/** A protection and the invariant that is violated without it. */
 export interface Mutation {
   readonly protection: keyof Protections;
   readonly invariant: number;
-  /** Seed and runs with which the fuzz finds it in CI. */
+  /** Seed and number of runs with which CI detects the violation. */
   readonly seed: number;
   readonly runs: number;
 }
 
-/** The list; docs/design/0002-proof.md shows what each run found. */
+/** The mutations; `docs/design/0002-proof.md` lists the findings. */
 export const MUTATIONS: readonly Mutation[] = [
   { protection: 'claims', invariant: 6, seed: 1, runs: 600 },
   { protection: 'tenantSalt', invariant: 1, seed: 1, runs: 600 },
--- a/fuzz/quota-commands.ts
+++ b/fuzz/quota-commands.ts
@@ -1,4 +1,4 @@
-/** Commands of the fuzz of tenants' limits: limits that change, tenants that send far beyond them, routers cut off. */
+/** Fuzz commands on tenant limits: changed limits, tenants that exceed them, partitions. */
 import fc from 'fast-check';
 import { STREAM_TOKENS } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import { QuotaUnit, type TenantLimit } from '../src/state/routing/quota/tenant-limit.js';
@@ -8,7 +8,7 @@
 const tenant = fc.constantFrom('tenant-1', 'tenant-2');
 const streamsPerSecond = fc.constantFrom(4, 12, 30);
 
-/** A limit by streams a second, with a burst of a second. */
+/** A limit in streams per second, with a burst of one second. */
 export function limitOfStreams(perSecond: number): TenantLimit {
   const ratePerSecond = perSecond * STREAM_TOKENS;
   const burst = ratePerSecond;
@@ -18,23 +18,23 @@
 const limitTenant = fc
   .tuple(tenant, streamsPerSecond)
   .map(([name, perSecond]) =>
-    command(`limitTenant(${name}, ${perSecond})`, (world) =>
-      world.limitTenant(name, limitOfStreams(perSecond)),
+    command(`limitTenant(${name}, ${perSecond})`, (simulation) =>
+      simulation.limitTenant(name, limitOfStreams(perSecond)),
     ),
   );
 
 const unlimitTenant = tenant.map((name) =>
-  command(`unlimitTenant(${name})`, (world) => world.limitTenant(name, undefined)),
+  command(`unlimitTenant(${name})`, (simulation) => simulation.limitTenant(name, undefined)),
 );
 
-/** One tenant sends through all routers at once, for about a window. */
-const hotTenant = fc
+/** A tenant sends through all routers, for about one window. */
+const exceedLimit = fc
   .tuple(tenant, fc.constantFrom(150, 500), fc.constantFrom(8, 15))
   .map(([name, count, gapMs]) =>
-    command(`hotTenant(${name}, ${count} each ${gapMs} ms)`, async (world) => {
-      for (let turn = 0; turn < count; turn += 1) {
-        world.request(turn, turn % 3 === 0 ? 'plain-safe' : 'stream-resumable', name, 0);
-        await world.clock.advance(gapMs);
+    command(`exceedLimit(${name}, ${count} each ${gapMs} ms)`, async (simulation) => {
+      for (let step = 0; step < count; step += 1) {
+        simulation.request(step, step % 3 === 0 ? 'plain-safe' : 'stream-resumable', name, 0);
+        await simulation.clock.advance(gapMs);
       }
     }),
   );
@@ -42,19 +42,21 @@
 const isolateRouter = fc
   .tuple(fc.nat(2), fc.constantFrom(600, 2_500, 6_000))
   .map(([index, forMs]) =>
-    command(`isolateRouter(${index}, ${forMs})`, (world) => world.isolateRouter(index, forMs)),
+    command(`isolateRouter(${index}, ${forMs})`, (simulation) =>
+      simulation.isolateRouter(index, forMs),
+    ),
   );
 
-/** A tenant's burst begins, and one router is cut off meanwhile. */
-const hotTenantBehindCut = fc.tuple(tenant, fc.nat(2)).map(([name, index]) =>
-  command(`hotTenantBehindCut(${name}, ${index})`, async (world) => {
+/** A router is isolated during a tenant's burst. */
+const exceedLimitDuringCut = fc.tuple(tenant, fc.nat(2)).map(([name, index]) =>
+  command(`exceedLimitDuringCut(${name}, ${index})`, async (simulation) => {
     const REQUESTS = 600;
     const GAP_MS = 10;
     const CUT_AFTER = 100;
-    for (let turn = 0; turn < REQUESTS; turn += 1) {
-      if (turn === CUT_AFTER) world.isolateRouter(index, 4_000);
-      world.request(turn, 'stream-once', name, 0);
-      await world.clock.advance(GAP_MS);
+    for (let step = 0; step < REQUESTS; step += 1) {
+      if (step === CUT_AFTER) simulation.isolateRouter(index, 4_000);
+      simulation.request(step, 'stream-once', name, 0);
+      await simulation.clock.advance(GAP_MS);
     }
   }),
 );
@@ -64,13 +66,13 @@
   limitTenant,
   limitTenant,
   unlimitTenant,
-  hotTenant,
-  hotTenant,
-  hotTenant,
+  exceedLimit,
+  exceedLimit,
+  exceedLimit,
   isolateRouter,
-  hotTenantBehindCut,
+  exceedLimitDuringCut,
 ];
 
-/** Sequences of commands in which limits and tenants beyond them meet every other fault. */
+/** Generates sequences that combine tenant limits with every other fault. */
 export const quotaCommands: CommandSource = (maximum) =>
   fc.commands([...GATEWAY_COMMANDS, ...QUOTA_COMMANDS], { maxCommands: maximum });
--- a/fuzz/quota-mutations.ts
+++ b/fuzz/quota-mutations.ts
@@ -1,11 +1,11 @@
-/** Ways to weaken the limits of tenants, which the fuzz with limits must then find broken. */
+/** Mutations that make routers exceed tenant limits. */
 import { decodeClusterDatagram, encodeQuotaQuestion } from '../src/protocol/peer/cluster-codec.js';
 import type { DatagramTransport } from '../src/transport/datagram-transport.js';
 import { SIMULATION_QUOTA_TOLERANCE } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { GatewayMutation } from './gateway-mutations.js';
 
-/** What a router is asked on behalf of others counts as nothing. */
-function forgetting(transport: DatagramTransport): DatagramTransport {
+/** Sets the amount of all quota requests to zero. */
+function omitAmounts(transport: DatagramTransport): DatagramTransport {
   return {
     bind: async (address, onDatagram) => {
       const socket = await transport.bind(address, onDatagram);
@@ -24,12 +24,12 @@
   return encodeQuotaQuestion({ ...body.value, amount: 0n });
 }
 
-/** The list. */
+/** Mutations that the fuzz test on tenant limits must detect. */
 export const QUOTA_MUTATIONS: readonly GatewayMutation[] = [
   {
     name: 'the account of a tenant forgets what other routers used',
     rule: 'tenant-limit',
-    mutation: { datagrams: forgetting },
+    mutation: { datagrams: omitAmounts },
   },
   {
     name: 'routers grant more than operators tolerate',
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -1,54 +1,54 @@
-/** Runs the stateful fuzz and reports a failing run's seed and shrunk commands. */
+/** Runs the stateful fuzz test and reports the seed and shrunk commands of a failing run. */
 import fc from 'fast-check';
 import { ALL_PROTECTIONS, type Protections } from '../src/coordination/router/settings.js';
 import { findViolations } from '../src/lab/simulation/oracle.js';
 import { World } from '../src/lab/simulation/world.js';
-import { type WorldCommand, worldCommands } from './commands.js';
+import { type SimulationCommand, simulationCommands } from './commands.js';
 
-/** Commands in one run at most. */
+/** Maximum number of commands in one run. */
 export const MAXIMUM_COMMANDS = 45;
 
-/** Result of a fuzz. */
+/** Result of a fuzz test. */
 export type FuzzResult =
   | { readonly kind: 'passed'; readonly runs: number }
   | { readonly kind: 'failed'; readonly runs: number; readonly report: string };
 
-/** Options of a fuzz. */
+/** Options of a fuzz test. */
 export interface FuzzOptions {
   readonly seed: number;
   readonly runs: number;
   readonly protections?: Protections;
-  /** Steps of shrinking; 0 for a quick answer. */
+  /** Maximum number of shrinking steps; 0 disables shrinking. */
   readonly maximumShrinks?: number;
   readonly timeLimitMs?: number;
 }
 
-/** Runs commands on a fresh deployment and throws where the oracle finds a violation. */
+/** Runs commands on a new deployment and throws if the oracle finds a violation. */
 export async function runCommands(
   seed: number,
-  commands: Iterable<WorldCommand>,
+  commands: Iterable<SimulationCommand>,
   protections: Protections,
 ): Promise<void> {
-  const world = await World.create(seed, protections);
-  await fc.asyncModelRun(() => ({ model: {}, real: world }), commands);
-  await world.settle();
-  const violations = findViolations(world);
+  const simulation = await World.create(seed, protections);
+  await fc.asyncModelRun(() => ({ model: {}, real: simulation }), commands);
+  await simulation.settle();
+  const violations = findViolations(simulation);
   if (violations.length === 0) return;
   const lines = violations.map(({ invariant, detail }) => `invariant ${invariant}: ${detail}`);
   throw new Error(lines.join('\n'));
 }
 
-function reportOf<Values>(details: fc.RunDetails<Values>): string {
+function formatReport<Values>(details: fc.RunDetails<Values>): string {
   return `${fc.defaultReportMessage(details) ?? ''}\n${String(details.errorInstance)}`;
 }
 
-/** Fuzzes with fixed seeds. */
+/** Runs the fuzz test with a fixed seed. */
 export async function fuzz(options: FuzzOptions): Promise<FuzzResult> {
   const protections = options.protections ?? ALL_PROTECTIONS;
   const property = fc.asyncProperty(
     fc.nat(),
-    worldCommands(MAXIMUM_COMMANDS),
-    (worldSeed, commands) => runCommands(worldSeed, commands, protections),
+    simulationCommands(MAXIMUM_COMMANDS),
+    (simulationSeed, commands) => runCommands(simulationSeed, commands, protections),
   );
   const details = await fc.check(property, {
     seed: options.seed,
@@ -59,5 +59,5 @@
       : { interruptAfterTimeLimit: options.timeLimitMs, markInterruptAsFailure: false }),
   });
   if (!details.failed) return { kind: 'passed', runs: details.numRuns };
-  return { kind: 'failed', runs: details.numRuns, report: reportOf(details) };
+  return { kind: 'failed', runs: details.numRuns, report: formatReport(details) };
 }
--- a/fuzz/store-restoration-mutations.ts
+++ b/fuzz/store-restoration-mutations.ts
@@ -1,7 +1,7 @@
-/** Routers that take a restored store for one that never went back, which the fuzz on restorations must then find. */
+/** Mutations that make routers ignore that the store was restored. */
 import type { GatewayMutation } from './gateway-mutations.js';
 
-/** The list. */
+/** Mutations that the fuzz test on store restorations must detect. */
 export const STORE_RESTORATION_MUTATIONS: readonly GatewayMutation[] = [
   {
     name: 'the answers of a restored store are ordered by revision alone',
--- a/src/lab/gateway-simulation/disturbances.ts
+++ b/src/lab/gateway-simulation/disturbances.ts
@@ -1,72 +1,75 @@
-/** What befell the routers of a simulated deployment, for rules that excuse a router for a while. Moments in milliseconds. */
+/**
+ * Faults of the routers in a simulated deployment. Rules exempt a router during a fault and for a
+ * while after it. All times are in milliseconds.
+ */
 
-/** A router was disturbed for a while. */
+/** A period in which a router was affected by a fault. */
 interface Disturbance {
   readonly router: string;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** A router is held to its bounds again this long after a disturbance has ended. */
-export const CONTACT_MS = 3_000;
+/** Time after a disturbance until the rules apply to the router again. */
+export const RECOVERY_MS = 3_000;
 
-/** The record of one deployment. */
+/** All disturbances of one deployment. */
 export class Disturbances {
-  /** Times in which a router was down, stood still or had no way to the store. */
-  private readonly all: Disturbance[] = [];
-  /** Times in which a router was cut off from all others. */
-  private readonly cuts: Disturbance[] = [];
-  /** Times in which a router's process did not run, and its restarts. */
+  /** Periods in which a router was down, paused or unable to reach the store. */
+  private readonly disturbances: Disturbance[] = [];
+  /** Periods in which a router was partitioned from all others. */
+  private readonly partitions: Disturbance[] = [];
+  /** Periods in which a router's process did not run. */
   private readonly interruptions: Disturbance[] = [];
 
-  /** A router has no way to the store, or something else keeps it from meeting its bounds. */
-  note(router: string, fromMs: number, forMs: number): void {
-    this.all.push({ router, fromMs, untilMs: fromMs + forMs });
+  /** Records a fault that keeps a router from meeting its bounds, such as a store outage. */
+  recordDisturbance(router: string, fromMs: number, forMs: number): void {
+    this.disturbances.push({ router, fromMs, untilMs: fromMs + forMs });
   }
 
-  /** A router is cut off from all others. */
-  noteCut(router: string, fromMs: number, forMs: number): void {
-    this.cuts.push({ router, fromMs, untilMs: fromMs + forMs });
+  /** Records a partition of a router from all others. */
+  recordPartition(router: string, fromMs: number, forMs: number): void {
+    this.partitions.push({ router, fromMs, untilMs: fromMs + forMs });
   }
 
-  /** The process ends or stands still, which also keeps it from meeting its bounds. */
-  noteInterruption(router: string, fromMs: number, forMs: number): void {
+  /** Records that a router's process is down or paused, which is also a disturbance. */
+  recordInterruption(router: string, fromMs: number, forMs: number): void {
     this.interruptions.push({ router, fromMs, untilMs: fromMs + forMs });
-    this.note(router, fromMs, forMs);
+    this.recordDisturbance(router, fromMs, forMs);
   }
 
-  /** Whether a router need not keep its bounds at a moment. */
+  /** Whether a router is exempt from its bounds at the given time. */
   isDisturbed(router: string, atMs: number): boolean {
-    return this.all.some(
-      (each) => each.router === router && each.fromMs <= atMs && atMs <= each.untilMs + CONTACT_MS,
+    return this.disturbances.some(
+      (each) => each.router === router && each.fromMs <= atMs && atMs <= each.untilMs + RECOVERY_MS,
     );
   }
 
-  /** Since when no router has been disturbed, at a moment; undefined where one is. */
-  calmSinceMs(atMs: number): number | undefined {
-    const begun = this.all.filter(({ fromMs }) => fromMs <= atMs);
-    const lastMs = Math.max(0, ...begun.map(({ untilMs }) => untilMs));
+  /** Time since which no router has been disturbed; undefined if one is at `atMs`. */
+  undisturbedSinceMs(atMs: number): number | undefined {
+    const started = this.disturbances.filter(({ fromMs }) => fromMs <= atMs);
+    const lastMs = Math.max(0, ...started.map(({ untilMs }) => untilMs));
     return lastMs <= atMs ? lastMs : undefined;
   }
 
-  /** Whether a router's process did not run all the time between two moments. */
+  /** Whether a router's process was interrupted between two points in time. */
   wasInterrupted(router: string, fromMs: number, untilMs: number): boolean {
     return overlapsAny(this.interruptions, router, fromMs, untilMs);
   }
 
-  /** Whether a router was cut off from the others at some time between two moments. */
-  wasCutOff(router: string, fromMs: number, untilMs: number): boolean {
-    return overlapsAny(this.cuts, router, fromMs, untilMs);
+  /** Whether a router was partitioned from the others at some point between two times. */
+  wasPartitioned(router: string, fromMs: number, untilMs: number): boolean {
+    return overlapsAny(this.partitions, router, fromMs, untilMs);
   }
 }
 
 function overlapsAny(
-  disturbances: readonly Disturbance[],
+  periods: readonly Disturbance[],
   router: string,
   fromMs: number,
   untilMs: number,
 ): boolean {
-  return disturbances.some(
+  return periods.some(
     (each) => each.router === router && each.fromMs <= untilMs && each.untilMs >= fromMs,
   );
 }
--- a/src/lab/gateway-simulation/gateway-oracle.ts
+++ b/src/lab/gateway-simulation/gateway-oracle.ts
@@ -1,9 +1,9 @@
-/** Judges a finished run of the simulated deployment by what callers, engines and operator saw. */
+/** Checks a finished run against the rules, by what callers, engines and the operator observed. */
 import { cacheSaltOf } from '../../state/routing/generation.js';
-import { CONTACT_MS } from './disturbances.js';
+import { RECOVERY_MS } from './disturbances.js';
 import type { GatewaySimulation, ObservedRequest } from './gateway-simulation.js';
 import type { ObservedRun } from './simulated-engine.js';
-import { STREAM_PIECES, pieceOf, plainBodyOf } from './simulated-exchange.js';
+import { STREAM_EVENTS, streamEventOf, plainBodyOf } from './simulated-exchange.js';
 import { type LimitBreach, judgeLimits } from './limit-oracle.js';
 import { type NoticeBreach, judgeNotices } from './notice-oracle.js';
 import { type QuotaBreach, judgeQuotas } from './quota-oracle.js';
@@ -14,7 +14,7 @@
   SIMULATION_QUOTA_TOLERANCE,
 } from './simulation-fixtures.js';
 
-/** The rules that are judged. */
+/** The rules that are checked. */
 export type GatewayRule =
   | 'at-most-once'
   | 'promise-kept'
@@ -34,63 +34,63 @@
   | LimitBreach['rule']
   | QuotaBreach['rule'];
 
-/** A broken rule. */
+/** A rule violation. */
 export interface RuleBreach {
   readonly rule: GatewayRule;
   readonly detail: string;
 }
 
-/** A request must be answered this long after its time is over. */
-const ANSWER_SLACK_MS = 200;
+/** Time after a request's timeout within which its response must end. */
+const RESPONSE_SLACK_MS = 200;
 const REQUEST_BUDGET_MS = 3_000;
-/** A send that was on its way when the engine's word came. */
+/** Allows for a request that was in flight when the drain took effect. */
 const DRAIN_SLACK_MS = 50;
-/** The engine before must have stopped this soon after a request went on elsewhere. */
+/** Time within which the previous engine must stop after a failover. */
 const OVERLAP_MS = 400;
 
-/** After so many crashes a request is known to crash engines. */
-const CRASHES_TO_KNOW = 3;
-/** Engines that it may reach from then on. */
+/** Number of crashes after which a request is quarantined. */
+const CRASHES_TO_QUARANTINE = 3;
+/** Number of engines that a quarantined request may still reach. */
 const MAXIMUM_LATE_CRASHES = 3;
 
-/** All broken rules of a run. */
-export function findBreaches(world: GatewaySimulation): RuleBreach[] {
-  const runsById = groupRuns(world.observations.runs);
-  const breaches = world.requests.flatMap((request) =>
-    judgeRequest(request, runsById.get(request.id) ?? [], world),
+/** Returns all rule violations of a run. */
+export function findBreaches(simulation: GatewaySimulation): RuleBreach[] {
+  const runsById = groupRuns(simulation.observations.runs);
+  const breaches = simulation.requests.flatMap((request) =>
+    judgeRequest(request, runsById.get(request.id) ?? [], simulation),
   );
   return [
     ...breaches,
-    ...judgeDrains(world),
-    ...judgeOrders(world),
-    ...judgeWeights(world),
-    ...judgeBeginnings(world),
-    ...judgeCrashes(world),
-    ...judgeStrays(world),
-    ...judgeNotices(world),
-    ...judgeLimits(world),
-    ...judgeQuotas(world, SIMULATION_QUOTA_TOLERANCE),
+    ...judgeDrains(simulation),
+    ...judgeLoadCommands(simulation),
+    ...judgeWeights(simulation),
+    ...judgeRunStarts(simulation),
+    ...judgeCrashes(simulation),
+    ...judgeMalformedEntries(simulation),
+    ...judgeNotices(simulation),
+    ...judgeLimits(simulation),
+    ...judgeQuotas(simulation, SIMULATION_QUOTA_TOLERANCE),
   ];
 }
 
-/** An entry of another writer names no engine to use: neither requests nor orders go there. */
-function judgeStrays(world: GatewaySimulation): RuleBreach[] {
-  return world.observations.strays.map(({ entry, router, atMs }) => ({
+/** Malformed entries receive neither requests nor load commands. */
+function judgeMalformedEntries(simulation: GatewaySimulation): RuleBreach[] {
+  return simulation.observations.malformedUses.map(({ entry, router, atMs }) => ({
     rule: 'odd-entry-unused' as const,
     detail: `${router} used ${entry} at ${atMs} ms`,
   }));
 }
 
-/** A request under which three engines have crashed reaches at most three more, a while later. */
-function judgeCrashes(world: GatewaySimulation): RuleBreach[] {
-  const { crashes } = world.observations;
+/** A request that has crashed three engines reaches at most three more after the recovery time. */
+function judgeCrashes(simulation: GatewaySimulation): RuleBreach[] {
+  const { crashes } = simulation.observations;
   return [...new Set(crashes.map(({ request }) => request))].flatMap((request) => {
     const own = crashes.filter((crash) => crash.request === request);
     const crashedMs = own.flatMap((crash) => crash.crashedMs ?? []).sort((a, b) => a - b);
-    const knownMs = (crashedMs[CRASHES_TO_KNOW - 1] ?? Infinity) + CONTACT_MS;
+    const quarantinedMs = (crashedMs[CRASHES_TO_QUARANTINE - 1] ?? Infinity) + RECOVERY_MS;
     const late = own.filter(
       ({ arrivedMs, router }) =>
-        arrivedMs > knownMs && !world.disturbances.isDisturbed(router, arrivedMs),
+        arrivedMs > quarantinedMs && !simulation.disturbances.isDisturbed(router, arrivedMs),
     );
     if (late.length <= MAXIMUM_LATE_CRASHES) return [];
     const detail = `${request}: ${late.length} arrivals later, ${crashedMs.length} crashes`;
@@ -98,29 +98,32 @@
   });
 }
 
-/** Once everything has come to rest, each engine has the newest weights. */
-function judgeWeights(world: GatewaySimulation): RuleBreach[] {
-  const behind = world.fleet.generationEngines.filter(
-    (engine) => engine.weightsVersion < world.namedVersion,
+/** At the end of a run, each engine has the newest published weights. */
+function judgeWeights(simulation: GatewaySimulation): RuleBreach[] {
+  const behind = simulation.fleet.generationEngines.filter(
+    (engine) => engine.weightsVersion < simulation.namedVersion,
   );
   return behind.map((engine) => ({
     rule: 'weights-in-force' as const,
-    detail: `${engine.id} has ${engine.weightsVersion} of ${world.namedVersion}`,
+    detail: `${engine.id} has ${engine.weightsVersion} of ${simulation.namedVersion}`,
   }));
 }
 
-/** No request begins on older weights a while after newer ones were named, counted over calm time. */
-function judgeBeginnings(world: GatewaySimulation): RuleBreach[] {
-  const namings = world.acknowledgements.filter(({ kind }) => kind === 'weights-named');
-  return world.observations.runs.flatMap((run) => {
-    if (run.salt === undefined || world.disturbances.isDisturbed(run.router, run.startedMs))
+/** After the bound, no request starts on older weights; the bound restarts after a disturbance. */
+function judgeRunStarts(simulation: GatewaySimulation): RuleBreach[] {
+  const publications = simulation.acknowledgements.filter(
+    ({ kind }) => kind === 'weights-published',
+  );
+  return simulation.observations.runs.flatMap((run) => {
+    if (run.salt === undefined || simulation.disturbances.isDisturbed(run.router, run.startedMs))
       return [];
-    const newer = namings.find(({ subject }) => Number(subject) > run.weightsVersion);
-    const calmSinceMs = world.disturbances.calmSinceMs(run.startedMs);
-    if (!newer || calmSinceMs === undefined) return [];
-    const lateMs = run.startedMs - Math.max(newer.atMs, calmSinceMs) - SIMULATION_BOUNDS.versionMs;
+    const newer = publications.find(({ subject }) => Number(subject) > run.weightsVersion);
+    const undisturbedSinceMs = simulation.disturbances.undisturbedSinceMs(run.startedMs);
+    if (!newer || undisturbedSinceMs === undefined) return [];
+    const lateMs =
+      run.startedMs - Math.max(newer.atMs, undisturbedSinceMs) - SIMULATION_BOUNDS.versionMs;
     if (lateMs <= 0) return [];
-    const detail = `${run.requestId} began on ${run.weightsVersion} at ${run.engineId}, ${lateMs} ms late`;
+    const detail = `${run.requestId} started on ${run.weightsVersion} at ${run.engineId}, ${lateMs} ms late`;
     return [{ rule: 'weights-on-time' as const, detail }];
   });
 }
@@ -138,15 +141,15 @@
 function judgeRequest(
   request: ObservedRequest,
   runs: readonly ObservedRun[],
-  world: GatewaySimulation,
+  simulation: GatewaySimulation,
 ): RuleBreach[] {
   return [
     ...judgeRunCount(request, runs),
-    ...judgePromise(request, runs),
-    ...judgeAnswer(request),
-    ...judgeKey(request, runs, world),
+    ...judgeRejection(request, runs),
+    ...judgeResponse(request),
+    ...judgeKey(request, runs, simulation),
     ...judgeSalts(request, runs),
-    ...judgeTime(request, world),
+    ...judgeResponseTime(request, simulation),
     ...judgeOverlap(request, runs),
   ];
 }
@@ -162,43 +165,43 @@
   ];
 }
 
-/** A refusal with 503 says that nothing ran. */
-function judgePromise(request: ObservedRequest, runs: readonly ObservedRun[]): RuleBreach[] {
-  const isPromise = request.reply.own?.status === 503;
-  if (!isPromise || runs.length === 0 || mayRepeat(request)) return [];
-  return [{ rule: 'promise-kept', detail: `${request.id} was refused with 503 and ran` }];
+/** A request rejected with 503 has not run. */
+function judgeRejection(request: ObservedRequest, runs: readonly ObservedRun[]): RuleBreach[] {
+  const isUnavailable = request.reply.own?.status === 503;
+  if (!isUnavailable || runs.length === 0 || mayRepeat(request)) return [];
+  return [{ rule: 'promise-kept', detail: `${request.id} was rejected with 503 but ran` }];
 }
 
-function judgeAnswer(request: ObservedRequest): RuleBreach[] {
+function judgeResponse(request: ObservedRequest): RuleBreach[] {
   const { reply, id, kind } = request;
   if (reply.status !== 200) return [];
   if (!kind.startsWith('stream')) {
     if (reply.ending !== 'whole' || reply.body === plainBodyOf(id)) return [];
     return [{ rule: 'whole-answer', detail: `${id}: "${reply.body}"` }];
   }
-  const whole = Array.from({ length: STREAM_PIECES }, (_, index) => pieceOf(id, index + 1)).join(
-    '',
-  );
-  const isFine = reply.ending === 'whole' ? reply.body === whole : whole.startsWith(reply.body);
-  return isFine ? [] : [{ rule: 'stream-in-order', detail: `${id}: "${reply.body}"` }];
+  const whole = Array.from({ length: STREAM_EVENTS }, (_, index) =>
+    streamEventOf(id, index + 1),
+  ).join('');
+  const isExpected = reply.ending === 'whole' ? reply.body === whole : whole.startsWith(reply.body);
+  return isExpected ? [] : [{ rule: 'stream-in-order', detail: `${id}: "${reply.body}"` }];
 }
 
 function judgeKey(
   request: ObservedRequest,
   runs: readonly ObservedRun[],
-  world: GatewaySimulation,
+  simulation: GatewaySimulation,
 ): RuleBreach[] {
   return runs.flatMap((run) => {
-    const removal = lastRemoval(request.key, run.startedMs, world);
+    const removal = lastRemoval(request.key, run.startedMs, simulation);
     if (removal === undefined || request.sentMs <= removal + SIMULATION_BOUNDS.revokeMs) return [];
     const lateMs = Math.round(run.startedMs - removal);
     return [{ rule: 'key-removed' as const, detail: `${request.id} ran ${lateMs} ms after` }];
   });
 }
 
-/** When the key was last taken away, where it was not given back before the run. */
-function lastRemoval(key: string, atMs: number, world: GatewaySimulation): number | undefined {
-  const changes = world.acknowledgements.filter(
+/** Time of the key's last removal, unless it was added again before the run. */
+function lastRemoval(key: string, atMs: number, simulation: GatewaySimulation): number | undefined {
+  const changes = simulation.acknowledgements.filter(
     (ack) => (ack.kind === 'key-removed' || ack.kind === 'key-added') && ack.subject === key,
   );
   const last = changes.filter((change) => change.atMs <= atMs).at(-1);
@@ -215,13 +218,13 @@
   });
 }
 
-function judgeTime(request: ObservedRequest, world: GatewaySimulation): RuleBreach[] {
-  const isLong = world.now > request.sentMs + REQUEST_BUDGET_MS + ANSWER_SLACK_MS;
+function judgeResponseTime(request: ObservedRequest, simulation: GatewaySimulation): RuleBreach[] {
+  const isLong = simulation.now > request.sentMs + REQUEST_BUDGET_MS + RESPONSE_SLACK_MS;
   if (!isLong || request.reply.ending !== undefined) return [];
-  return [{ rule: 'answered-in-time', detail: `${request.id} has no end` }];
+  return [{ rule: 'answered-in-time', detail: `${request.id} has no complete response` }];
 }
 
-/** A request that goes on elsewhere must not be worked on at the engine before. */
+/** After a failover, the previous engine must stop running the request. */
 function judgeOverlap(request: ObservedRequest, runs: readonly ObservedRun[]): RuleBreach[] {
   return runs.slice(1).flatMap((run, index) => {
     const before = runs[index] as ObservedRun;
@@ -231,15 +234,15 @@
   });
 }
 
-function judgeDrains(world: GatewaySimulation): RuleBreach[] {
-  const drains = world.acknowledgements.filter((ack) => ack.kind === 'engine-draining');
+function judgeDrains(simulation: GatewaySimulation): RuleBreach[] {
+  const drains = simulation.acknowledgements.filter((ack) => ack.kind === 'engine-draining');
   return drains.flatMap((drain) => {
     const limitMs = drain.atMs + SIMULATION_BOUNDS.drainMs + DRAIN_SLACK_MS;
-    const late = world.observations.runs.find(
+    const late = simulation.observations.runs.find(
       (run) =>
         run.engineId === drain.subject &&
         run.startedMs > limitMs &&
-        !world.disturbances.isDisturbed(run.router, run.startedMs),
+        !simulation.disturbances.isDisturbed(run.router, run.startedMs),
     );
     if (!late) return [];
     return [{ rule: 'engine-drained' as const, detail: `${late.requestId} at ${late.engineId}` }];
@@ -247,17 +250,18 @@
 }
 
 /**
- * One token belongs to one holder, tokens never fall, and holders do not take turns at once. Orders are
- * judged as they were sent: one that the network holds up may arrive at a life that knows no token yet.
+ * Each fencing token belongs to one holder, tokens never decrease, and a new holder waits for the
+ * lease to expire. Commands are checked in order of sending, since a delayed one may reach an
+ * incarnation that has not received a token yet.
  */
-function judgeOrders(world: GatewaySimulation): RuleBreach[] {
-  const orders = [...world.observations.orders].sort((a, b) => a.sentMs - b.sentMs);
-  return orders.slice(1).flatMap((order, index) => {
-    const before = orders[index] as (typeof orders)[number];
-    if (before.holder === order.holder) return [];
-    const gapMs = order.sentMs - before.sentMs;
-    if (order.token > before.token && gapMs >= SIMULATION_BOUNDS.leaseMs) return [];
-    const detail = `${before.holder} (${before.token}), ${order.holder} (${order.token}), ${gapMs} ms`;
+function judgeLoadCommands(simulation: GatewaySimulation): RuleBreach[] {
+  const commands = [...simulation.observations.orders].sort((a, b) => a.sentMs - b.sentMs);
+  return commands.slice(1).flatMap((command, index) => {
+    const before = commands[index] as (typeof commands)[number];
+    if (before.holder === command.holder) return [];
+    const gapMs = command.sentMs - before.sentMs;
+    if (command.token > before.token && gapMs >= SIMULATION_BOUNDS.leaseMs) return [];
+    const detail = `${before.holder} (${before.token}), ${command.holder} (${command.token}), ${gapMs} ms`;
     return [{ rule: 'one-holder' as const, detail }];
   });
 }
--- a/src/lab/gateway-simulation/gateway-simulation.ts
+++ b/src/lab/gateway-simulation/gateway-simulation.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one process on a virtual clock: routers, store, engines, callers. */
+/** Simulated deployment on a virtual clock: routers, store, engines, operator and callers. */
 import { GatewayNode } from '../../coordination/gateway/gateway-node.js';
 import type { TenantLimit } from '../../state/routing/quota/tenant-limit.js';
 import { type Hasher, createHasher } from '../../runtime/hasher.js';
@@ -38,7 +38,7 @@
 } from './simulation-fixtures.js';
 import type { RouterView, SimulationMutation } from './simulation-mutation.js';
 
-/** A request and what became of it. */
+/** A request and its recorded response. */
 export interface ObservedRequest {
   readonly id: string;
   readonly kind: RequestKind;
@@ -49,18 +49,18 @@
   readonly reply: RecordedReply;
 }
 
-/** A store that comes back from an older copy of itself; times in milliseconds. */
+/** Restoration of the store from an older copy. Times in milliseconds. */
 export interface StoreRestoration {
-  /** What was written in this span before the store went away is gone. */
+  /** Writes of this long before the outage are lost. */
   readonly lostMs: number;
   readonly awayMs: number;
-  /** The operator writes again so long after the store's return. */
+  /** Delay after the outage until the operator rewrites lost objects. */
   readonly writtenAgainMs: number;
 }
 
-/** Something the store acknowledged, for the rules with a time bound. */
+/** A change that the store acknowledged, for rules with a time bound. */
 export interface Acknowledgement {
-  readonly kind: 'key-removed' | 'key-added' | 'engine-draining' | 'weights-named';
+  readonly kind: 'key-removed' | 'key-added' | 'engine-draining' | 'weights-published';
   /** Key, engine or version. */
   readonly subject: string;
   readonly atMs: number;
@@ -78,7 +78,7 @@
   readonly inference: SimulatedInference;
 }
 
-/** The deployment. */
+/** A simulated deployment. */
 export class GatewaySimulation {
   readonly clock = new VirtualClock();
   readonly store: SimulatedObjectStore;
@@ -87,7 +87,7 @@
   readonly observations = new EngineObservations();
   readonly requests: ObservedRequest[] = [];
   readonly acknowledgements: Acknowledgement[] = [];
-  /** Limits of tenants that the store has acknowledged, the oldest first. */
+  /** Changes of tenant limits that the store acknowledged, oldest first. */
   readonly limitChanges: LimitChange[] = [];
   readonly disturbances = new Disturbances();
   private readonly network: SimulatedNetwork;
@@ -114,21 +114,22 @@
   }
 
   static async create(seed: number, mutation: SimulationMutation = {}): Promise<GatewaySimulation> {
-    const world = new GatewaySimulation(seed, await createHasher(), mutation);
+    const simulation = new GatewaySimulation(seed, await createHasher(), mutation);
     for (const tenant of KEYS.keys()) {
       const limit = mutation.tenantLimit;
-      if (limit) world.limitChanges.push({ tenant, limit, atMs: 0 });
+      if (limit) simulation.limitChanges.push({ tenant, limit, atMs: 0 });
     }
-    world.putConfiguration();
-    world.operator.write(KINDS.weightVersions, SIMULATION_MODEL, {
+    simulation.writeConfiguration();
+    simulation.operator.write(KINDS.weightVersions, SIMULATION_MODEL, {
       model: SIMULATION_MODEL,
       version: 1,
     });
-    for (let index = 0; index < GENERATION_ENGINES; index += 1) world.fleet.add(GENERATION_SERVICE);
-    for (let index = 0; index < PLAIN_ENGINES; index += 1) world.fleet.add(PLAIN_SERVICE);
-    for (let index = 0; index < ROUTERS; index += 1) await world.startRouter(index, true);
-    await world.clock.advance(STARTUP_MS);
-    return world;
+    for (let index = 0; index < GENERATION_ENGINES; index += 1)
+      simulation.fleet.add(GENERATION_SERVICE);
+    for (let index = 0; index < PLAIN_ENGINES; index += 1) simulation.fleet.add(PLAIN_SERVICE);
+    for (let index = 0; index < ROUTERS; index += 1) await simulation.startRouter(index, true);
+    await simulation.clock.advance(STARTUP_MS);
+    return simulation;
   }
 
   get routerCount(): number {
@@ -140,9 +141,9 @@
   }
 
   /**
-   * Sends a request through a router; nothing where the router is down.
+   * Sends a request through a router, unless the router is down.
    *
-   * @param body makes it the same request as others of that body; left out: a request of its own
+   * @param body requests with the same body count as the same request; unique by default
    */
   request(
     routerIndex: number,
@@ -161,16 +162,16 @@
     router.node.handle(inboundRequest(id, kind, key, this.now, body), reply);
   }
 
-  /** The caller of one of the last requests leaves. */
-  leaveCaller(back: number): void {
-    this.requests.at(-1 - back)?.reply.leave();
+  /** Closes the caller's connection of one of the last requests. */
+  disconnectCaller(back: number): void {
+    this.requests.at(-1 - back)?.reply.disconnect();
   }
 
   engine(index: number): SimulatedEngine {
     return this.fleet.engine(index);
   }
 
-  /** An engine names a limit on requests a second from now on; undefined: it names none any more. */
+  /** Sets the limit of requests per second that an engine announces; undefined removes it. */
   limitEngine(index: number, perSecond: number | undefined): void {
     const engine = this.engine(index);
     if (!engine.isRunning) return;
@@ -178,7 +179,7 @@
     this.observations.limits.push({ engineId: engine.id, perSecond, atMs: this.now });
   }
 
-  /** The operator takes a key away or gives it back. */
+  /** Removes a tenant's key or adds it again, as the operator. */
   toggleKey(tenant: string, keyIndex: number): void {
     const key = KEYS.get(tenant)?.[keyIndex];
     const present = this.keys.get(tenant);
@@ -191,14 +192,14 @@
       present.push(key);
       this.acknowledgements.push({ kind: 'key-added', subject: key, atMs: this.now });
     }
-    this.putConfiguration();
+    this.writeConfiguration();
   }
 
-  /** The operator changes a tenant's limit; undefined takes it away. */
+  /** Changes a tenant's limit, as the operator; undefined removes it. */
   limitTenant(tenant: string, limit: TenantLimit | undefined): void {
     if (this.store.isDown) return;
     this.limitChanges.push({ tenant, limit, atMs: this.now });
-    this.putConfiguration();
+    this.writeConfiguration();
   }
 
   nameWeights(): void {
@@ -208,10 +209,14 @@
       model: SIMULATION_MODEL,
       version,
     });
-    this.acknowledgements.push({ kind: 'weights-named', subject: `${version}`, atMs: this.now });
+    this.acknowledgements.push({
+      kind: 'weights-published',
+      subject: `${version}`,
+      atMs: this.now,
+    });
   }
 
-  /** Kills a router's process and starts it again after a while. */
+  /** Kills a router's process and restarts it after `downMs`. */
   killRouter(index: number, downMs: number): void {
     const name = routerName(index);
     const router = this.routers.get(name);
@@ -222,12 +227,12 @@
     router.inference.breakAll();
     this.sockets.forget(name);
     for (const request of this.requests) {
-      if (request.router === name) request.reply.breakOff();
+      if (request.router === name) request.reply.abortIfOpen();
     }
     this.clock.setTimer(downMs, () => void this.startRouter(index, false));
   }
 
-  /** A planned stop: the router leaves the group, serves on for a while, ends and starts again. */
+  /** Stops a router gracefully: it leaves the group, serves for `graceMs` and restarts. */
   stopRouter(index: number, graceMs: number): void {
     const router = this.routers.get(routerName(index));
     if (!router?.host.isRunning) return;
@@ -237,9 +242,9 @@
     });
   }
 
-  /** Newest version of the weights that was named. */
+  /** Newest published version of the weights. */
   get namedVersion(): number {
-    return (this.operator.newest(KINDS.weightVersions, SIMULATION_MODEL) as { version: number })
+    return (this.operator.latestSpec(KINDS.weightVersions, SIMULATION_MODEL) as { version: number })
       .version;
   }
 
@@ -252,7 +257,7 @@
     this.clock.setTimer(forMs, () => router.host.unpause());
   }
 
-  /** The router's machine is suspended: its steady clock and its timers stand still meanwhile. */
+  /** Suspends a router's machine, which stops its monotonic clock and timers. */
   suspendRouter(index: number, forMs: number): void {
     const name = routerName(index);
     const router = this.routers.get(name);
@@ -269,11 +274,11 @@
     this.clock.setTimer(forMs, () => this.store.unreachableFor.delete(name));
   }
 
-  /** A router is cut off from all others and from the store, and goes on serving callers. */
+  /** Partitions a router from all others and from the store; callers still reach it. */
   isolateRouter(index: number, forMs: number): void {
     const name = routerName(index);
     this.cutFromStore(index, forMs);
-    this.disturbances.noteCut(name, this.now, forMs);
+    this.disturbances.recordPartition(name, this.now, forMs);
     this.network.isolate(name);
     this.clock.setTimer(forMs, () => this.network.join(name));
   }
@@ -286,31 +291,32 @@
     });
   }
 
-  /** The store is down, and entries of engines run out meanwhile; living engines enter again. */
-  lapseEntries(forMs: number, reenterMs: number): void {
+  /** Stops the store and expires all engine entries; running engines write theirs again. */
+  lapseEntries(forMs: number, rewriteDelayMs: number): void {
     this.stopStore(forMs);
     const entries = this.store.all(KINDS.engines);
     for (const entry of entries) this.store.remove(KINDS.engines, entry.name);
-    this.clock.setTimer(forMs + reenterMs, () => {
+    this.clock.setTimer(forMs + rewriteDelayMs, () => {
       for (const { name, spec } of entries) {
-        if (this.fleet.isAlive(spec as StoredEngine)) this.store.put(KINDS.engines, name, spec);
+        if (this.fleet.isIncarnationRunning(spec as StoredEngine))
+          this.store.put(KINDS.engines, name, spec);
       }
     });
   }
 
   /**
-   * The store is away for a while and back from an older copy of itself. Soon after, the operator writes again
-   * what is lost; the engines do with their next heartbeats.
+   * Stops the store and restores it from an older copy. Then the operator rewrites lost objects,
+   * and engines rewrite their entries with the next heartbeats.
    */
   restoreStore({ lostMs, awayMs, writtenAgainMs }: StoreRestoration): void {
     this.stopStore(awayMs);
-    // No copy is older than the deployment.
+    // Copies are made only after start-up.
     this.store.restore(Math.max(STARTUP_MS, this.now - lostMs));
-    this.clock.setTimer(awayMs, () => this.fleet.writeEntriesAgain());
-    this.clock.setTimer(awayMs + writtenAgainMs, () => this.operator.writeAgain());
+    this.clock.setTimer(awayMs, () => this.fleet.rewriteEntries());
+    this.clock.setTimer(awayMs + writtenAgainMs, () => this.operator.rewriteLost());
   }
 
-  /** Ends every fault and lets everything come to rest. */
+  /** Ends all faults and waits until the deployment is stable. */
   async settle(): Promise<void> {
     this.store.isDown = false;
     this.store.unreachableFor.clear();
@@ -327,18 +333,18 @@
   }
 
   private interrupt(router: string, forMs: number): void {
-    this.disturbances.noteInterruption(router, this.now, forMs);
+    this.disturbances.recordInterruption(router, this.now, forMs);
   }
 
   private disturb(router: string, forMs: number): void {
-    this.disturbances.note(router, this.now, forMs);
+    this.disturbances.recordDisturbance(router, this.now, forMs);
   }
 
   private disturbAll(forMs: number): void {
     for (let index = 0; index < ROUTERS; index += 1) this.disturb(routerName(index), forMs);
   }
 
-  private putConfiguration(): void {
+  private writeConfiguration(): void {
     this.configurationVersion += 1;
     const tenants = [...this.keys].map(([name, keys]) => ({
       name,
--- a/src/lab/gateway-simulation/limit-oracle.ts
+++ b/src/lab/gateway-simulation/limit-oracle.ts
@@ -1,52 +1,54 @@
-/** Judges whether routers together kept to the limits on requests a second that engines had named. */
+/** Checks that all routers together respect the limits of requests per second of engines. */
 import {
   LIMIT_ON_THE_WAY_MS,
   LIMIT_WINDOW_MS,
   firstFullWindow,
   toleratedRequests,
 } from '../limit-tolerance.js';
-import { CONTACT_MS } from './disturbances.js';
+import { RECOVERY_MS } from './disturbances.js';
 import type { GatewaySimulation } from './gateway-simulation.js';
 import type { ObservedArrival, ObservedLimit } from './simulated-engine.js';
 
-/** A rule on limits of engines that was broken. */
+/** A violated engine limit. */
 export interface LimitBreach {
   readonly rule: 'limit-kept';
   readonly detail: string;
 }
 
-/** A time in which an engine names limits without a break. */
-interface LimitedTime {
+/** A period in which an engine announces a limit without interruption. */
+interface LimitedPeriod {
   /** Incarnation of the engine. */
   readonly engineId: string;
   readonly fromMs: number;
-  /** Infinity where it goes on. */
+  /** Infinity if the period has not ended. */
   readonly untilMs: number;
-  /** The limits of that time, in order. */
+  /** Limits of the period, in order of time. */
   readonly limits: readonly ObservedLimit[];
 }
 
-/** All limits that were passed, one for each time in which an engine named them. */
-export function judgeLimits(world: GatewaySimulation): LimitBreach[] {
-  return limitedTimes(world.observations.limits).flatMap((time) => judgeTime(time, world));
+/** Returns at most one violation for each limited period of an engine. */
+export function judgeLimits(simulation: GatewaySimulation): LimitBreach[] {
+  return limitedPeriods(simulation.observations.limits).flatMap((period) =>
+    judgePeriod(period, simulation),
+  );
 }
 
-function limitedTimes(changes: readonly ObservedLimit[]): LimitedTime[] {
+function limitedPeriods(changes: readonly ObservedLimit[]): LimitedPeriod[] {
   const engineIds = [...new Set(changes.map(({ engineId }) => engineId))];
   return engineIds.flatMap((engineId) =>
-    timesOf(
+    periodsOf(
       engineId,
       changes.filter((change) => change.engineId === engineId),
     ),
   );
 }
 
-function timesOf(engineId: string, changes: readonly ObservedLimit[]): LimitedTime[] {
-  const times: LimitedTime[] = [];
+function periodsOf(engineId: string, changes: readonly ObservedLimit[]): LimitedPeriod[] {
+  const periods: LimitedPeriod[] = [];
   let limits: ObservedLimit[] = [];
   const close = (untilMs: number): void => {
     const [first] = limits;
-    if (first) times.push({ engineId, fromMs: first.atMs, untilMs, limits });
+    if (first) periods.push({ engineId, fromMs: first.atMs, untilMs, limits });
     limits = [];
   };
   for (const change of changes) {
@@ -54,64 +56,64 @@
     else limits.push(change);
   }
   close(Infinity);
-  return times;
+  return periods;
 }
 
-/** The first window of a time in which more requests came than the limit lets through. */
-function judgeTime(time: LimitedTime, world: GatewaySimulation): LimitBreach[] {
-  const toldMs = firstToldByRouter(time, world);
-  const firstNamedMs = Math.min(Infinity, ...toldMs.values());
-  const counted = world.observations.arrivals.filter((arrival) =>
-    isCounted(arrival, time, toldMs, world),
+/** Finds the first window of a period in which more requests arrived than allowed. */
+function judgePeriod(period: LimitedPeriod, simulation: GatewaySimulation): LimitBreach[] {
+  const firstNoticeMs = firstNoticeByRouter(period, simulation);
+  const firstNamedMs = Math.min(Infinity, ...firstNoticeMs.values());
+  const counted = simulation.observations.arrivals.filter((arrival) =>
+    isCounted(arrival, period, firstNoticeMs, simulation),
   );
   const full = firstFullWindow(
     counted.map(({ atMs }) => atMs),
-    firstNamedMs + CONTACT_MS,
-    (atMs) => allowedRequests(time, atMs),
+    firstNamedMs + RECOVERY_MS,
+    (atMs) => allowedRequests(period, atMs),
   );
   if (!full) return [];
   const { requests, allowed, atMs } = full;
-  const detail = `${requests} requests at ${time.engineId} until ${atMs} ms, ${allowed} allowed`;
+  const detail = `${requests} requests at ${period.engineId} until ${atMs} ms, ${allowed} allowed`;
   return [{ rule: 'limit-kept', detail }];
 }
 
-/** When each router took the first answer of that time. */
-function firstToldByRouter(
-  { engineId, fromMs, untilMs }: LimitedTime,
+/** Time of the first response with a limit that each router received in the period. */
+function firstNoticeByRouter(
+  { engineId, fromMs, untilMs }: LimitedPeriod,
   { observations }: GatewaySimulation,
 ): ReadonlyMap<string, number> {
-  const toldMs = new Map<string, number>();
+  const firstNoticeMs = new Map<string, number>();
   for (const notice of observations.notices) {
     const { answeredMs, router, limitPerSecond } = notice;
-    const isOfTime = notice.engineId === engineId && answeredMs >= fromMs && answeredMs < untilMs;
-    if (!isOfTime || limitPerSecond === undefined || toldMs.has(router)) continue;
-    toldMs.set(router, answeredMs);
+    const isOfPeriod = notice.engineId === engineId && answeredMs >= fromMs && answeredMs < untilMs;
+    if (!isOfPeriod || limitPerSecond === undefined || firstNoticeMs.has(router)) continue;
+    firstNoticeMs.set(router, answeredMs);
   }
-  return toldMs;
+  return firstNoticeMs;
 }
 
 function isCounted(
   { engineId, router, atMs }: ObservedArrival,
-  time: LimitedTime,
-  toldMs: ReadonlyMap<string, number>,
-  world: GatewaySimulation,
+  period: LimitedPeriod,
+  firstNoticeMs: ReadonlyMap<string, number>,
+  simulation: GatewaySimulation,
 ): boolean {
-  if (engineId !== time.engineId || atMs >= time.untilMs) return false;
-  if (atMs < (toldMs.get(router) ?? Infinity) + LIMIT_ON_THE_WAY_MS) return false;
-  const sinceMs = atMs - LIMIT_WINDOW_MS - CONTACT_MS;
+  if (engineId !== period.engineId || atMs >= period.untilMs) return false;
+  if (atMs < (firstNoticeMs.get(router) ?? Infinity) + LIMIT_ON_THE_WAY_MS) return false;
+  const sinceMs = atMs - LIMIT_WINDOW_MS - RECOVERY_MS;
   return (
-    !world.disturbances.wasInterrupted(router, sinceMs, atMs) &&
-    !world.disturbances.wasCutOff(router, sinceMs, atMs)
+    !simulation.disturbances.wasInterrupted(router, sinceMs, atMs) &&
+    !simulation.disturbances.wasPartitioned(router, sinceMs, atMs)
   );
 }
 
-/** By the highest limit that held lately: routers hear of a lower one by answers only. */
-function allowedRequests({ limits }: LimitedTime, atMs: number): number {
-  const sinceMs = atMs - LIMIT_WINDOW_MS - CONTACT_MS;
-  const lately = limits.filter((limit, index) => {
+/** Uses the highest recent limit, since routers learn of a lower one only with a response. */
+function allowedRequests({ limits }: LimitedPeriod, atMs: number): number {
+  const sinceMs = atMs - LIMIT_WINDOW_MS - RECOVERY_MS;
+  const recent = limits.filter((limit, index) => {
     const endMs = limits[index + 1]?.atMs ?? Infinity;
     return limit.atMs <= atMs && endMs > sinceMs;
   });
-  const perSecond = Math.max(...lately.map((limit) => limit.perSecond ?? 0));
+  const perSecond = Math.max(...recent.map((limit) => limit.perSecond ?? 0));
   return toleratedRequests(perSecond, LIMIT_WINDOW_MS);
 }
--- a/src/lab/gateway-simulation/malformed-entry.ts
+++ b/src/lab/gateway-simulation/malformed-entry.ts
@@ -1,7 +1,7 @@
-/** Entries of engines as another writer may leave them: none names an engine to use. */
+/** Malformed engine entries, as another writer may leave them in the store. */
 import type { StoredEngine } from './stored-engine.js';
 
-/** What is odd about an entry. */
+/** How an entry is malformed. */
 export enum MalformedEntry {
   FieldMissing = 'field-missing',
   OtherType = 'other-type',
@@ -10,12 +10,12 @@
   Unreadable = 'unreadable',
 }
 
-/** A service that no configuration names. */
+/** A service that is in no configuration. */
 const UNKNOWN_SERVICE = 'service-of-another-writer';
 
-/** What another writer makes of an engine's entry. */
-export function malformedEntryOf(odd: MalformedEntry, entry: StoredEngine): unknown {
-  switch (odd) {
+/** Returns the entry with the given fault. */
+export function malformedEntryOf(fault: MalformedEntry, entry: StoredEngine): unknown {
+  switch (fault) {
     case MalformedEntry.FieldMissing:
       return { ...entry, address: undefined };
     case MalformedEntry.OtherType:
--- a/src/lab/gateway-simulation/notice-oracle.ts
+++ b/src/lab/gateway-simulation/notice-oracle.ts
@@ -1,41 +1,41 @@
-/** Judges whether routers kept to what engines had told them of themselves. */
+/** Checks that routers respect the notices in engines' responses. */
 import type { GatewaySimulation } from './gateway-simulation.js';
 import type { ObservedArrival, ObservedNotice } from './simulated-engine.js';
 import { SIMULATION_BOUNDS } from './simulation-fixtures.js';
 
-/** A rule on what engines say of themselves that was broken. */
+/** A violated rule on engine notices. */
 export interface NoticeBreach {
   readonly rule: 'leaving-engine-unused' | 'backoff-kept';
   readonly detail: string;
 }
 
-/** Requests that were on their way when an engine asked for a pause arrive within this time. */
-const ON_THE_WAY_MS = 500;
-/** Requests that a router may send to an engine all the same while a pause lasts. */
-const MAXIMUM_IN_PAUSE = 2;
+/** Requests in flight when an engine requests a backoff arrive within this time. */
+const IN_FLIGHT_MS = 500;
+/** Number of requests that a router may send to an engine during a backoff. */
+const MAXIMUM_DURING_BACKOFF = 2;
 
-/** All broken rules on what engines say of themselves. */
-export function judgeNotices(world: GatewaySimulation): NoticeBreach[] {
-  const { notices } = world.observations;
-  const sentMsById = new Map(world.requests.map(({ id, sentMs }) => [id, sentMs]));
+/** Returns all violated rules on engine notices. */
+export function judgeNotices(simulation: GatewaySimulation): NoticeBreach[] {
+  const { notices } = simulation.observations;
+  const sentMsById = new Map(simulation.requests.map(({ id, sentMs }) => [id, sentMs]));
   return notices.flatMap((notice) => [
-    ...judgeLeaving(notice, sentMsById, world),
-    ...judgeBackoff(notice, world),
+    ...judgeLeaving(notice, sentMsById, simulation),
+    ...judgeBackoff(notice, simulation),
   ]);
 }
 
-/** What callers send a while after a router has heard that an engine leaves does not reach that engine. */
+/** Requests sent after a router has learned of an engine's shutdown don't reach the engine. */
 function judgeLeaving(
   notice: ObservedNotice,
   sentMsById: ReadonlyMap<string, number>,
-  world: GatewaySimulation,
+  simulation: GatewaySimulation,
 ): NoticeBreach[] {
   if (!notice.isLeaving) return [];
   const limitMs = notice.answeredMs + SIMULATION_BOUNDS.drainMs;
-  const late = arrivalsAfter(notice, world).find(
+  const late = arrivalsAfter(notice, simulation).find(
     ({ requestId, atMs }) =>
       (sentMsById.get(requestId) ?? -Infinity) > limitMs &&
-      !world.disturbances.wasInterrupted(notice.router, notice.answeredMs, atMs),
+      !simulation.disturbances.wasInterrupted(notice.router, notice.answeredMs, atMs),
   );
   if (!late) return [];
   const lateMs = Math.round(late.atMs - notice.answeredMs);
@@ -43,16 +43,16 @@
   return [{ rule: 'leaving-engine-unused', detail }];
 }
 
-/** An engine that asked a router for a pause gets hardly a request of it until the pause is over. */
-function judgeBackoff(notice: ObservedNotice, world: GatewaySimulation): NoticeBreach[] {
+/** A router sends almost no requests to an engine during a backoff that it requested. */
+function judgeBackoff(notice: ObservedNotice, simulation: GatewaySimulation): NoticeBreach[] {
   const { answeredMs, backoffMs, router, engineId } = notice;
   if (backoffMs === undefined) return [];
   const untilMs = answeredMs + backoffMs;
-  if (world.disturbances.wasInterrupted(router, answeredMs, untilMs)) return [];
-  const early = arrivalsAfter(notice, world).filter(
-    ({ atMs }) => atMs > answeredMs + ON_THE_WAY_MS && atMs < untilMs,
+  if (simulation.disturbances.wasInterrupted(router, answeredMs, untilMs)) return [];
+  const early = arrivalsAfter(notice, simulation).filter(
+    ({ atMs }) => atMs > answeredMs + IN_FLIGHT_MS && atMs < untilMs,
   );
-  if (early.length <= MAXIMUM_IN_PAUSE) return [];
+  if (early.length <= MAXIMUM_DURING_BACKOFF) return [];
   const detail = `${early.length} requests reached ${engineId} from ${router} in ${backoffMs} ms`;
   return [{ rule: 'backoff-kept', detail }];
 }
--- a/src/lab/gateway-simulation/quota-oracle.ts
+++ b/src/lab/gateway-simulation/quota-oracle.ts
@@ -1,4 +1,4 @@
-/** Judges the limits of tenants: what engines ran for each tenant, summed over every window. */
+/** Checks tenant limits against the requests that engines ran in each window. */
 import {
   type QuotaTolerance,
   type TenantLimit,
@@ -16,36 +16,39 @@
   routerName,
 } from './simulation-fixtures.js';
 
-/** A tenant that got more than its limit allows. */
+/** A tenant that exceeded its limit. */
 export interface QuotaBreach {
   readonly rule: 'tenant-limit';
   readonly detail: string;
 }
 
-/** A time in which routers may go by a limit; times in milliseconds. */
+/** A period in which routers may apply a limit. Times in milliseconds. */
 interface LimitSpan {
   readonly limit: TenantLimit | undefined;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** What a run was charged at least, and when it began. */
+/** A run with its start time and its request, which determines the charge. */
 interface ChargedRun {
   readonly atMs: number;
   readonly request: ObservedRequest;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Steps in which a moment is looked for at which all routers have been in touch. */
-const TOUCH_STEP_MS = 250;
+/** Step of the search for a time at which all routers have been connected for long enough. */
+const CONTACT_STEP_MS = 250;
 
-/** Windows in which engines ran more for a tenant than is allowed; one breach for each tenant at most. */
-export function judgeQuotas(world: GatewaySimulation, tolerance: QuotaTolerance): QuotaBreach[] {
-  if (world.limitChanges.every(({ limit }) => limit === undefined)) return [];
-  const requests = new Map(world.requests.map((request) => [request.id, request]));
+/** Returns at most one violation for each tenant: the first window above the limit. */
+export function judgeQuotas(
+  simulation: GatewaySimulation,
+  tolerance: QuotaTolerance,
+): QuotaBreach[] {
+  if (simulation.limitChanges.every(({ limit }) => limit === undefined)) return [];
+  const requests = new Map(simulation.requests.map((request) => [request.id, request]));
   return [...KEYS.keys()].flatMap((tenant) => {
-    const spans = spansOf(tenant, world);
-    const runs = runsOf(tenant, world.observations.runs, requests);
+    const spans = spansOf(tenant, simulation);
+    const runs = runsOf(tenant, simulation.observations.runs, requests);
     return judgeTenant(tenant, runs, spans, tolerance);
   });
 }
@@ -99,31 +102,31 @@
     .sort((left, right) => left.atMs - right.atMs);
 }
 
-/** The limits of a tenant, each until the next one binds all routers. */
-function spansOf(tenant: string, world: GatewaySimulation): LimitSpan[] {
-  const changes = world.limitChanges.filter((change) => change.tenant === tenant);
-  const beginning: LimitChange = { tenant, limit: undefined, atMs: 0 };
-  const all = changes[0]?.atMs === 0 ? changes : [beginning, ...changes];
+/** Limits of a tenant, each until the next one is effective on all routers. */
+function spansOf(tenant: string, simulation: GatewaySimulation): LimitSpan[] {
+  const changes = simulation.limitChanges.filter((change) => change.tenant === tenant);
+  const initial: LimitChange = { tenant, limit: undefined, atMs: 0 };
+  const all = changes[0]?.atMs === 0 ? changes : [initial, ...changes];
   return all.map(({ limit, atMs }, index) => {
     const next = all[index + 1];
-    return { limit, fromMs: atMs, untilMs: next ? bindingMs(next, world) : Infinity };
+    return { limit, fromMs: atMs, untilMs: next ? effectiveAtMs(next, simulation) : Infinity };
   });
 }
 
-/** A change binds once all routers have been in touch for so long after it was acknowledged. */
-function bindingMs({ atMs }: LimitChange, world: GatewaySimulation): number {
+/** A change is effective once all routers have been undisturbed for `applyMs` after it. */
+function effectiveAtMs({ atMs }: LimitChange, simulation: GatewaySimulation): number {
   const { applyMs } = SIMULATION_BOUNDS;
-  let inTouchSinceMs = atMs;
-  for (let nowMs = atMs; nowMs <= world.now; nowMs += TOUCH_STEP_MS) {
-    if (isAnyDisturbed(world, nowMs)) inTouchSinceMs = nowMs + TOUCH_STEP_MS;
-    else if (nowMs - inTouchSinceMs >= applyMs) return nowMs;
+  let connectedSinceMs = atMs;
+  for (let nowMs = atMs; nowMs <= simulation.now; nowMs += CONTACT_STEP_MS) {
+    if (isAnyDisturbed(simulation, nowMs)) connectedSinceMs = nowMs + CONTACT_STEP_MS;
+    else if (nowMs - connectedSinceMs >= applyMs) return nowMs;
   }
   return Infinity;
 }
 
-function isAnyDisturbed(world: GatewaySimulation, atMs: number): boolean {
+function isAnyDisturbed(simulation: GatewaySimulation, atMs: number): boolean {
   for (let index = 0; index < ROUTERS; index += 1) {
-    if (world.disturbances.isDisturbed(routerName(index), atMs)) return true;
+    if (simulation.disturbances.isDisturbed(routerName(index), atMs)) return true;
   }
   return false;
 }
--- a/src/lab/gateway-simulation/recorded-reply.ts
+++ b/src/lab/gateway-simulation/recorded-reply.ts
@@ -1,10 +1,10 @@
-/** A caller's side of one request: keeps what arrived and how it ended. */
+/** Caller's side of a request: records the response and how it ended. */
 import type { OwnAnswer, Reply } from '../../coordination/gateway/reply.js';
 
-/** How an answer ended for the caller. */
+/** How a response ended for the caller. */
 export type ReplyEnd = 'whole' | 'refused' | 'aborted' | 'left';
 
-/** Records one answer. */
+/** Records one response. */
 export class RecordedReply implements Reply {
   status: number | undefined;
   own: OwnAnswer | undefined;
@@ -40,18 +40,18 @@
   }
 
   onDrain(): void {
-    // The recorder takes all at once.
+    // Writes are never blocked, so there is nothing to drain.
   }
 
-  /** The caller leaves. */
-  leave(): void {
+  /** Closes the connection from the caller's side. */
+  disconnect(): void {
     if (this.ending) return;
     this.ending = 'left';
     this.closeListener();
   }
 
-  /** The router's process has ended. */
-  breakOff(): void {
+  /** Ends the response because the router's process has ended. */
+  abortIfOpen(): void {
     this.ending ??= 'aborted';
   }
 }
--- a/src/lab/gateway-simulation/simulated-engine.ts
+++ b/src/lab/gateway-simulation/simulated-engine.ts
@@ -1,23 +1,23 @@
-/** Stand-in of an engine, with the faults that real ones show, and what all engines saw. */
+/** Simulated engine with injectable faults, and the observations of all engines. */
 import type { EngineNotice } from '../../protocol/inference/port.js';
 import { incarnationOf } from '../../state/routing/engine-incarnation.js';
 
-/** How an engine treats the requests it is sent. */
+/** How an engine handles requests. */
 export enum EngineMode {
   Sound = 'sound',
-  /** Refuses and says so. */
+  /** Rejects requests with an error response. */
   Busy = 'busy',
-  /** Runs and answers with its own failure. */
+  /** Runs the request and responds with an error. */
   Failing = 'failing',
-  /** Runs, and the answer is lost. */
-  AnswerLost = 'answer-lost',
-  /** Runs and never answers. */
+  /** Runs the request, but the response is lost. */
+  ResponseLost = 'answer-lost',
+  /** Runs the request and never responds. */
   Hanging = 'hanging',
-  /** Runs and breaks its answer off. */
-  Cutting = 'cutting',
+  /** Runs the request and truncates the response. */
+  Truncating = 'cutting',
 }
 
-/** One run of a request, as an engine saw it. */
+/** One run of a request, as observed by the engine. */
 export interface ObservedRun {
   readonly requestId: string;
   /** Incarnation of the engine. */
@@ -33,41 +33,41 @@
 
 /** One arrival of a request that crashes engines. */
 export interface ObservedCrash {
-  /** Caller, path and body, which stay the same when the request comes again. */
+  /** Tenant, target and body, which are the same when the request is repeated. */
   readonly request: string;
   readonly router: string;
   readonly arrivedMs: number;
-  /** Undefined where the engine was gone before. */
+  /** Undefined if the engine ended before the crash. */
   crashedMs: number | undefined;
 }
 
-/** One order that an engine took. */
-export interface ObservedOrder {
+/** A load command that an engine accepted. */
+export interface ObservedLoadCommand {
   /** Incarnation of the engine. */
   readonly engineId: string;
   readonly holder: string;
   readonly token: number;
-  /** When it was sent; the network may have held it up since. */
+  /** Send time; the network may delay the command. */
   readonly sentMs: number;
 }
 
-/** A send or an order to what an entry of another writer names as an engine. */
-export interface ObservedStray {
+/** A request or load command that was sent to a malformed entry. */
+export interface ObservedMalformedUse {
   /** Name of the entry. */
   readonly entry: string;
   readonly router: string;
   readonly atMs: number;
 }
 
-/** A request that an engine works on. */
+/** A request that runs on an engine. */
 export interface RunningRequest {
-  /** The connection breaks at the engine's side. */
+  /** Breaks the connection at the engine's side. */
   breakOff(): void;
-  /** The engine ends, and nothing of that reaches the router. */
-  leaveSilently(): void;
+  /** Ends the run at the engine without notifying the router. */
+  abandon(): void;
 }
 
-/** What identifies an engine and stays the same in all its lives. */
+/** Identity of an engine, which is the same for all its incarnations. */
 export interface EngineIdentity {
   readonly name: string;
   /** HOST:PORT. */
@@ -76,36 +76,36 @@
   readonly model: string | undefined;
 }
 
-/** One life of an engine of the simulation. */
+/** One incarnation of a simulated engine. */
 export class SimulatedEngine {
   mode = EngineMode.Sound;
   isRunning = true;
-  sequence = 0;
+  commandSequence = 0;
   highestToken = 0;
   isLoading = false;
-  /** Whether it takes orders; otherwise they stay without an answer and without effect. */
+  /** Whether it accepts load commands; otherwise they time out without effect. */
   takesOrders = true;
-  /** A request begins to run this long after it arrived, in milliseconds: others are read before it. */
+  /** Time in the engine's queue before a request starts, in milliseconds. */
   queueMs = 0;
-  /** Whether it leaves; all its answers say so from then on. */
+  /** Whether the engine is draining, which all its responses then state. */
   isDraining = false;
-  /** Where it refuses, it wants no requests of that router for so long; undefined: it does not say. */
+  /** Backoff stated in rejections, in milliseconds; undefined states none. */
   backoffMs: number | undefined;
-  /** Requests a second that it takes from all routers together; undefined: it names no limit. */
+  /** Limit of requests per second for all routers together; undefined: no limit. */
   limitPerSecond: number | undefined;
   readonly running = new Set<RunningRequest>();
-  /** Called when it has crashed. */
+  /** Called after a crash. */
   onCrashed: () => void = () => undefined;
   private version = 1;
   private replacedVersion = 1;
 
-  /** @param bornMs start in Unix milliseconds, by the engine's own clock */
+  /** @param bornMs start time in Unix milliseconds, by the engine's own clock */
   constructor(
     readonly identity: EngineIdentity,
     readonly bornMs: number,
   ) {}
 
-  /** Incarnation: identity of this life. */
+  /** Identifier of this incarnation. */
   get id(): string {
     return incarnationOf(this.identity.name, this.bornMs);
   }
@@ -135,50 +135,50 @@
     this.version = version;
   }
 
-  /** The version that it had before its last load. */
-  get earlierVersion(): number {
+  /** Version before the last load. */
+  get previousVersion(): number {
     return this.replacedVersion;
   }
 
-  /** What an answer tells of the engine; undefined where it tells nothing. */
-  noticeWith(isRefusal: boolean): EngineNotice | undefined {
+  /** Notice to send with a response; undefined if there is nothing to state. */
+  noticeFor(isRefusal: boolean): EngineNotice | undefined {
     const backoffMs = isRefusal ? this.backoffMs : undefined;
     const { isDraining: isLeaving, limitPerSecond } = this;
     if (!isLeaving && backoffMs === undefined && limitPerSecond === undefined) return undefined;
     return { isLeaving, backoffMs, limitPerSecond, unreadable: [], unknownHeaders: [] };
   }
 
-  /** Ends at once; what it was working on breaks off. */
+  /** Stops at once and breaks the connections of running requests. */
   crash(): void {
     this.isRunning = false;
     for (const exchange of [...this.running]) exchange.breakOff();
   }
 
-  /** Ends behind a cut of the network. Answers what its callers find broken once the cut is over. */
-  crashUnseen(): RunningRequest[] {
+  /** Stops during a network partition. Returns the requests that fail when the partition ends. */
+  crashUnnoticed(): RunningRequest[] {
     this.isRunning = false;
     const unseen = [...this.running];
-    for (const exchange of unseen) exchange.leaveSilently();
+    for (const exchange of unseen) exchange.abandon();
     return unseen;
   }
 
-  /** Crashes, by a request that it ran or by a fault of its own, and is started again. */
+  /** Crashes and is restarted. */
   crashAndRestart(): void {
     this.crash();
     this.onCrashed();
   }
 }
 
-/** What a router took of an engine's answer that tells of the engine itself. */
+/** A notice that a router received in an engine's response. */
 export interface ObservedNotice extends EngineNotice {
   /** Incarnation of the engine. */
   readonly engineId: string;
   readonly router: string;
-  /** When the engine answered. */
+  /** When the engine sent the response. */
   readonly answeredMs: number;
 }
 
-/** A request that reached an engine, whether it ran there or not. */
+/** A request that arrived at an engine, whether or not it ran. */
 export interface ObservedArrival {
   readonly requestId: string;
   /** Incarnation of the engine. */
@@ -187,21 +187,21 @@
   readonly atMs: number;
 }
 
-/** The limit that an engine names from a moment on. */
+/** A limit that an engine announces from `atMs` on. */
 export interface ObservedLimit {
   /** Incarnation of the engine. */
   readonly engineId: string;
-  /** Requests a second of all routers together; undefined: it names none any more. */
+  /** Requests per second of all routers together; undefined: no limit any more. */
   readonly perSecond: number | undefined;
   readonly atMs: number;
 }
 
-/** What all engines saw, for the oracle. */
+/** Observations of all engines, for the oracle. */
 export class EngineObservations {
   readonly runs: ObservedRun[] = [];
-  readonly orders: ObservedOrder[] = [];
+  readonly orders: ObservedLoadCommand[] = [];
   readonly crashes: ObservedCrash[] = [];
-  readonly strays: ObservedStray[] = [];
+  readonly malformedUses: ObservedMalformedUse[] = [];
   readonly arrivals: ObservedArrival[] = [];
   readonly notices: ObservedNotice[] = [];
   readonly limits: ObservedLimit[] = [];
--- a/src/lab/gateway-simulation/simulated-exchange.ts
+++ b/src/lab/gateway-simulation/simulated-exchange.ts
@@ -1,4 +1,4 @@
-/** One send to a simulated engine, as both sides see it. */
+/** Simulated exchange of one request between a router and an engine. */
 import type {
   AnswerHead,
   EngineNotice,
@@ -19,20 +19,20 @@
   type SimulatedEngine,
 } from './simulated-engine.js';
 
-/** Pieces of every stream. */
-export const STREAM_PIECES = 5;
-/** Time on the way between a router and an engine. */
-export const WAY_MS = 1;
-const PIECE_MS = 8;
+/** Number of events in each stream. */
+export const STREAM_EVENTS = 5;
+/** One-way delay between a router and an engine. */
+export const NETWORK_DELAY_MS = 1;
+const EVENT_INTERVAL_MS = 8;
 
-/** One send, from both sides. */
+/** One request, at the router and at the engine. */
 export class SimulatedExchange implements Exchange, RunningRequest {
-  isOver = false;
+  isEnded = false;
   private engine: SimulatedEngine | undefined;
   private observed: ObservedRun | undefined;
-  private hasBegun = false;
-  /** What an answer that is given now tells of the engine that was reached. */
-  private tellNotice: (isRefusal: boolean) => void = () => undefined;
+  private hasResponded = false;
+  /** Delivers the engine's notice with a response that is sent now. */
+  private deliverNotice: (isRefusal: boolean) => void = () => undefined;
 
   constructor(
     private readonly request: ForwardedRequest,
@@ -43,16 +43,16 @@
   ) {}
 
   /**
-   * The request has reached an engine.
+   * Sets the engine that the request has arrived at.
    *
-   * @param onNotice called with what the router takes of the engine, and when the engine said it
+   * @param onNotice called with a notice that the router receives, and the time of the response
    */
   reach(
     engine: SimulatedEngine,
     onNotice: (notice: EngineNotice, answeredMs: number) => void,
   ): void {
-    this.tellNotice = (isRefusal) => {
-      const notice = engine.noticeWith(isRefusal);
+    this.deliverNotice = (isRefusal) => {
+      const notice = engine.noticeFor(isRefusal);
       if (!notice) return;
       const answeredMs = this.clock.now();
       this.deliver(() => {
@@ -62,47 +62,49 @@
     };
   }
 
-  /** The engine lets the request wait; it does not begin where it is given up meanwhile. */
-  waitInQueue(waitMs: number, begin: () => void): void {
+  /** Queues the request at the engine. It does not start if it is cancelled meanwhile. */
+  waitInQueue(waitMs: number, start: () => void): void {
     this.clock.setTimer(waitMs, () => {
-      if (!this.isOver) begin();
+      if (!this.isEnded) start();
     });
   }
 
-  /** The engine has taken the request, which crashes it when it begins to run. */
+  /** Starts a request that crashes the engine. */
   crash(engine: SimulatedEngine, run: ObservedRun, crash: ObservedCrash): void {
-    this.take(engine, run);
-    this.later(PIECE_MS, () => {
+    this.accept(engine, run);
+    this.schedule(EVENT_INTERVAL_MS, () => {
       crash.crashedMs = this.clock.now();
       engine.crashAndRestart();
     });
   }
 
-  /** The engine has taken the request. */
+  /** Starts the request on the engine, which responds according to its mode. */
   run(engine: SimulatedEngine, run: ObservedRun): void {
-    this.take(engine, run);
+    this.accept(engine, run);
     switch (engine.mode) {
       case EngineMode.Failing:
-        this.later(PIECE_MS, () => this.answerFailure());
+        this.schedule(EVENT_INTERVAL_MS, () => this.respondWithFailure());
         return;
-      case EngineMode.AnswerLost:
-        this.later(PIECE_MS, () => this.breakOff());
+      case EngineMode.ResponseLost:
+        this.schedule(EVENT_INTERVAL_MS, () => this.breakOff());
         return;
       case EngineMode.Hanging:
         return;
       default:
-        this.later(PIECE_MS, () => this.begin(engine.mode === EngineMode.Cutting));
+        this.schedule(EVENT_INTERVAL_MS, () =>
+          this.sendResponse(engine.mode === EngineMode.Truncating),
+        );
     }
   }
 
-  private take(engine: SimulatedEngine, run: ObservedRun): void {
+  private accept(engine: SimulatedEngine, run: ObservedRun): void {
     this.engine = engine;
     this.observed = run;
     engine.running.add(this);
   }
 
   refuse(status: number): void {
-    if (status === HttpStatus.Unavailable) this.tellNotice(true);
+    if (status === HttpStatus.Unavailable) this.deliverNotice(true);
     this.deliverLast(() =>
       this.listener.onFailure({ kind: 'refused', status, reason: `refused-${status}` }),
     );
@@ -117,47 +119,47 @@
   /** The connection breaks at the engine's side. */
   breakOff(): void {
     this.leaveEngine();
-    this.fail(this.hasBegun ? 'cut' : 'unknown');
+    this.fail(this.hasResponded ? 'cut' : 'unknown');
   }
 
-  leaveSilently(): void {
+  abandon(): void {
     this.leaveEngine();
   }
 
   cancel(): void {
-    this.isOver = true;
-    this.clock.setTimer(WAY_MS, () => this.leaveEngine());
+    this.isEnded = true;
+    this.clock.setTimer(NETWORK_DELAY_MS, () => this.leaveEngine());
   }
 
   pause(): void {
-    // Callers of the simulation read at once.
+    // Simulated callers read without delay.
   }
 
   resume(): void {
-    // As above.
+    // See pause().
   }
 
-  private answerFailure(): void {
-    this.tellNotice(false);
+  private respondWithFailure(): void {
+    this.deliverNotice(false);
     this.deliver(() => this.listener.onHead(headOf(500)));
     this.leaveEngine();
     this.deliverLast(() => this.listener.onEnd());
   }
 
-  private begin(isCut: boolean): void {
-    this.hasBegun = true;
-    this.tellNotice(false);
+  private sendResponse(isCut: boolean): void {
+    this.hasResponded = true;
+    this.deliverNotice(false);
     this.deliver(() => this.listener.onHead(headOf(200)));
     const isStream = this.request.target.startsWith('/stream');
     if (!isStream) {
-      this.answerPlain(isCut);
+      this.respondPlain(isCut);
       return;
     }
     const resumed = this.options.resumeAfter;
-    this.piece(resumed === undefined ? 1 : Number(resumed) + 1, isCut);
+    this.sendEvent(resumed === undefined ? 1 : Number(resumed) + 1, isCut);
   }
 
-  private answerPlain(isCut: boolean): void {
+  private respondPlain(isCut: boolean): void {
     const body = plainBodyOf(this.request.id);
     const sent = isCut ? body.slice(0, -1) : body;
     this.deliver(() => this.listener.onChunk(Buffer.from(sent)));
@@ -169,26 +171,26 @@
     this.deliverLast(() => this.listener.onEnd());
   }
 
-  /** Sends one event after the other; a cut falls into the middle of the third. */
-  private piece(index: number, isCut: boolean): void {
-    if (index > STREAM_PIECES) {
+  /** Sends the remaining events. A cut truncates the third one. */
+  private sendEvent(index: number, isCut: boolean): void {
+    if (index > STREAM_EVENTS) {
       this.leaveEngine();
       this.deliverLast(() => this.listener.onEnd());
       return;
     }
-    const text = pieceOf(this.request.id, index);
-    const CUT_PIECE = 3;
-    if (isCut && index >= CUT_PIECE) {
+    const text = streamEventOf(this.request.id, index);
+    const CUT_EVENT = 3;
+    if (isCut && index >= CUT_EVENT) {
       this.deliver(() => this.listener.onChunk(Buffer.from(text.slice(0, text.length / 2))));
       this.breakOff();
       return;
     }
     this.deliver(() => this.listener.onChunk(Buffer.from(text)));
-    this.later(PIECE_MS, () => this.piece(index + 1, isCut));
+    this.schedule(EVENT_INTERVAL_MS, () => this.sendEvent(index + 1, isCut));
   }
 
-  /** Continues the run at the engine, unless it was given up or the engine is gone. */
-  private later(delayMs: number, action: () => void): void {
+  /** Schedules a step of the run, which is skipped if the run has ended by then. */
+  private schedule(delayMs: number, action: () => void): void {
     this.clock.setTimer(delayMs, () => {
       if (this.engine?.running.has(this)) action();
     });
@@ -200,28 +202,28 @@
   }
 
   private deliver(action: () => void): void {
-    this.clock.setTimer(WAY_MS, () =>
+    this.clock.setTimer(NETWORK_DELAY_MS, () =>
       this.host.deliver(() => {
-        if (!this.isOver) action();
+        if (!this.isEnded) action();
       }),
     );
   }
 
   private deliverLast(action: () => void): void {
     this.deliver(() => {
-      this.isOver = true;
+      this.isEnded = true;
       action();
     });
   }
 }
 
-/** The whole body of a plain answer. */
+/** Complete body of a plain response. */
 export function plainBodyOf(requestId: string): string {
   return `answer to ${requestId}`;
 }
 
 /** One event of a stream. */
-export function pieceOf(requestId: string, index: number): string {
+export function streamEventOf(requestId: string, index: number): string {
   return `id: ${index}\ndata: ${requestId}/${index}\n\n`;
 }
 
--- a/src/lab/gateway-simulation/simulated-fleet.ts
+++ b/src/lab/gateway-simulation/simulated-fleet.ts
@@ -1,4 +1,7 @@
-/** The engines of the simulated deployment: their lives, their entries in the store, the ways to them. */
+/**
+ * Engines of the simulated deployment: their incarnations, entries in the store and network
+ * partitions.
+ */
 import { isDeepStrictEqual } from 'node:util';
 import type { VirtualClock } from '../../runtime/virtual-clock.js';
 import { type MalformedEntry, malformedEntryOf } from './malformed-entry.js';
@@ -7,39 +10,39 @@
 import type { StoredEngine } from './stored-engine.js';
 import { GENERATION_SERVICE, KINDS, SIMULATION_MODEL } from './simulation-fixtures.js';
 
-/** How an engine starts again under its name. */
+/** Options of a restart under the same name. */
 export interface EngineRestart {
-  /** Time from its end to its next start, in milliseconds. */
+  /** Time between stop and start, in milliseconds. */
   readonly downMs: number;
-  /** From its end there is no way to the engine for this long: what is sent to it hangs. 0: no cut. */
+  /** Duration of a network partition that begins at the stop, in milliseconds; 0: none. */
   readonly cutMs: number;
-  /** The new life's entry is written this long after its start. */
+  /** Delay between the start and the write of the new entry, in milliseconds. */
   readonly entryDelayMs: number;
-  /** Whether it comes back with the version that its last load has replaced. */
+  /** Whether it restarts with the version before its last load. */
   readonly losesLoad: boolean;
-  /** How far the engine's clock has stepped back meanwhile. */
+  /** How far the engine's clock steps back, in milliseconds. */
   readonly clockStepMs: number;
 }
 
-/** What becomes of an order. */
+/** Fault of a load command. */
 export enum OrderFault {
-  /** It is taken, and the answer is lost. */
-  AnswerLost = 'answer-lost',
-  /** It gets no answer and arrives seconds later, at whatever life the engine has then. */
+  /** The command is applied, but the response is lost. */
+  ResponseLost = 'answer-lost',
+  /** The command times out and arrives seconds later, possibly at a later incarnation. */
   Late = 'late',
 }
 
-/** An engine that a request has crashed is back after this time. */
+/** Delay before a crashed engine restarts. */
 const CRASH_RESTART_MS = 3_000;
-/** The entry of a crashed engine lapses after this time. */
-const ENTRY_LAPSE_MS = 3_600;
-/** An engine whose address is free again gets it to another after this time. */
-const REUSE_AFTER_MS = 300;
-/** An engine that leaves serves on for this long after the store knows. */
-const SERVES_ON_MS = 6_000;
-/** An engine writes its entry at least this often. */
+/** The entry of a crashed engine expires after this time. */
+const ENTRY_EXPIRY_MS = 3_600;
+/** Delay before another engine reuses the address of a replaced one. */
+const ADDRESS_REUSE_MS = 300;
+/** Time that a draining engine keeps serving after its entry was written. */
+const DRAIN_MS = 6_000;
+/** Interval of heartbeats, with which an engine rewrites its entry. */
 const HEARTBEAT_MS = 1_200;
-const ENTRY_RETRY_MS = 300;
+const WRITE_RETRY_MS = 300;
 const CRASH: EngineRestart = {
   downMs: CRASH_RESTART_MS,
   cutMs: 0,
@@ -48,56 +51,56 @@
   clockStepMs: 0,
 };
 
-/** The engines. */
+/** All engines of a deployment. */
 export class SimulatedFleet {
-  /** Whether an engine that crashes starts again under its name; else another takes its place. */
+  /** Whether a crashed engine restarts under its name; otherwise a new engine replaces it. */
   restartsUnderName = false;
-  /** What becomes of the next orders. */
+  /** Faults of the next load commands. */
   readonly orderFaults: OrderFault[] = [];
-  /** Every life of every engine, in the order in which they began. */
-  private readonly lives: SimulatedEngine[] = [];
+  /** All incarnations of all engines, in order of start. */
+  private readonly incarnations: SimulatedEngine[] = [];
   private readonly names: string[] = [];
-  /** By address without a way to it: what hangs there. */
-  private readonly cuts = new Map<string, Set<RunningRequest>>();
-  private readonly oddNames = new Set<string>();
+  /** Pending requests by partitioned address. */
+  private readonly partitions = new Map<string, Set<RunningRequest>>();
+  private readonly malformedEntryNames = new Set<string>();
 
-  /** @param onDraining called when the store has taken that a life leaves */
+  /** @param onDraining called when the store has accepted the entry of a draining incarnation */
   constructor(
     private readonly clock: VirtualClock,
     private readonly store: SimulatedObjectStore,
     private readonly onDraining: (engineId: string) => void,
   ) {}
 
-  /** The present life of an engine, by the engine's place in the order of first starts. */
+  /** Latest incarnation of an engine, by the engine's index in order of first starts. */
   engine(index: number): SimulatedEngine {
     const name = this.names[index % this.names.length] as string;
-    return this.lifeOf(name) as SimulatedEngine;
+    return this.latestIncarnation(name) as SimulatedEngine;
   }
 
-  /** The running engines that hold the model. */
+  /** Running engines that serve the model. */
   get generationEngines(): SimulatedEngine[] {
-    return this.lives.filter((engine) => engine.isRunning && engine.model !== undefined);
+    return this.incarnations.filter((engine) => engine.isRunning && engine.model !== undefined);
   }
 
-  /** The life that began last at an address. */
-  at(address: string): SimulatedEngine | undefined {
-    return this.lives.findLast((engine) => engine.address === address);
+  /** Latest incarnation at an address. */
+  latestAt(address: string): SimulatedEngine | undefined {
+    return this.incarnations.findLast((engine) => engine.address === address);
   }
 
-  /** Whether a life, as an entry names it, is running. */
-  isAlive({ name, bornMs }: StoredEngine): boolean {
-    const life = this.lifeOf(name);
-    return life?.isRunning === true && life.bornMs === bornMs;
+  /** Whether the incarnation of an entry is running. */
+  isIncarnationRunning({ name, bornMs }: StoredEngine): boolean {
+    const incarnation = this.latestIncarnation(name);
+    return incarnation?.isRunning === true && incarnation.bornMs === bornMs;
   }
 
-  /** Whether a name is of another writer's entry and of no engine. */
-  isOddName(name: string): boolean {
-    return this.oddNames.has(name);
+  /** Whether the name is that of a malformed entry without an engine. */
+  isMalformedEntryName(name: string): boolean {
+    return this.malformedEntryNames.has(name);
   }
 
-  /** What hangs at an address to which there is no way; undefined where there is one. */
-  cutAt(address: string): Set<RunningRequest> | undefined {
-    return this.cuts.get(address);
+  /** Pending requests at a partitioned address; undefined if the address is reachable. */
+  partitionAt(address: string): Set<RunningRequest> | undefined {
+    return this.partitions.get(address);
   }
 
   add(service: string, address?: string): void {
@@ -105,38 +108,38 @@
     this.names.push(name);
     const model = service === GENERATION_SERVICE ? SIMULATION_MODEL : undefined;
     const identity = { name, address: address ?? `${name}:1`, service, model };
-    const named = this.store.get(KINDS.weightVersions, SIMULATION_MODEL)?.spec as {
+    const published = this.store.get(KINDS.weightVersions, SIMULATION_MODEL)?.spec as {
       version: number;
     };
-    const engine = this.begin(identity, named.version, 0);
+    const engine = this.start(identity, published.version, 0);
     this.store.put(KINDS.engines, name, entryOf(engine));
   }
 
-  /** An engine dies without announcing it; another takes its address a little later. */
+  /** Ends an engine without a drain. A new engine takes over its address shortly after. */
   replace(index: number): void {
     const engine = this.engine(index);
     if (!engine.isRunning) return;
     engine.crash();
     this.store.remove(KINDS.engines, engine.name);
-    this.clock.setTimer(REUSE_AFTER_MS, () => this.add(engine.service, engine.address));
+    this.clock.setTimer(ADDRESS_REUSE_MS, () => this.add(engine.service, engine.address));
   }
 
-  /** An engine crashes without a request being the cause, and comes back as it does after one. */
+  /** Crashes an engine, which then restarts. */
   crash(index: number): void {
     const engine = this.engine(index);
     if (engine.isRunning) engine.crashAndRestart();
   }
 
-  /** An engine ends and starts again under its name. */
-  restart(index: number, rebirth: EngineRestart): void {
+  /** Restarts an engine under its name. */
+  restart(index: number, options: EngineRestart): void {
     const engine = this.engine(index);
     if (!engine.isRunning) return;
-    if (rebirth.cutMs > 0) this.cutOff(engine.address, engine.crashUnseen(), rebirth.cutMs);
+    if (options.cutMs > 0) this.partition(engine.address, engine.crashUnnoticed(), options.cutMs);
     else engine.crash();
-    this.beginAgain(engine, rebirth);
+    this.scheduleRestart(engine, options);
   }
 
-  /** An engine announces that it leaves, serves a while longer and ends. */
+  /** Drains an engine: it announces its shutdown, serves for a while and ends. */
   drain(index: number): void {
     const engine = this.engine(index);
     const listed = this.store.get(KINDS.engines, engine.name)?.spec as StoredEngine | null;
@@ -144,142 +147,144 @@
     this.leave(index);
   }
 
-  /** An engine leaves: its answers say so at once, its entry as soon as the store takes it. */
+  /** Drains an engine. Its responses state this at once, its entry once the store is available. */
   leave(index: number): void {
     const engine = this.engine(index);
     if (!engine.isRunning || engine.isDraining) return;
     engine.isDraining = true;
-    this.enterDraining(engine);
+    this.writeDrainingEntry(engine);
   }
 
-  /** Another writer leaves an entry under a name that is no engine's. */
-  addOddEntry(odd: MalformedEntry): void {
-    const name = `odd-${this.oddNames.size + 1}`;
-    this.oddNames.add(name);
+  /** Writes a malformed entry under a name that no engine has. */
+  addOddEntry(fault: MalformedEntry): void {
+    const name = `odd-${this.malformedEntryNames.size + 1}`;
+    this.malformedEntryNames.add(name);
     const identity = { ...this.engine(0).identity, name, address: `${name}:1` };
     const entry = entryOf(new SimulatedEngine(identity, this.wallMs));
-    this.store.put(KINDS.engines, name, malformedEntryOf(odd, entry));
+    this.store.put(KINDS.engines, name, malformedEntryOf(fault, entry));
   }
 
-  /** Another writer overwrites an engine's entry, which the engine writes again with its next heartbeat. */
-  overwriteEntry(index: number, odd: MalformedEntry): void {
+  /** Overwrites an engine's entry until the engine's next heartbeat rewrites it. */
+  overwriteEntry(index: number, fault: MalformedEntry): void {
     const engine = this.engine(index);
     if (!engine.isRunning || this.store.isDown) return;
-    this.store.put(KINDS.engines, engine.name, malformedEntryOf(odd, entryOf(engine)));
+    this.store.put(KINDS.engines, engine.name, malformedEntryOf(fault, entryOf(engine)));
     this.clock.setTimer(HEARTBEAT_MS, () => this.writeEntry(engine));
   }
 
   /**
-   * The store has gone back to an older copy: with its next heartbeat each engine enters again as it is, and
-   * entries of engines that have ended lapse.
+   * Handles a restored store: each engine rewrites its entry with its next heartbeat, and entries
+   * of engines that have ended expire.
    */
-  writeEntriesAgain(): void {
+  rewriteEntries(): void {
     for (const [index, name] of this.names.entries()) {
       const heartbeatMs = (HEARTBEAT_MS * (index + 1)) / this.names.length;
-      this.clock.setTimer(heartbeatMs, () => this.writeEntryAgain(name));
-      this.clock.setTimer(ENTRY_LAPSE_MS, () => {
-        if (this.lifeOf(name)?.isRunning === false) this.store.remove(KINDS.engines, name);
+      this.clock.setTimer(heartbeatMs, () => this.rewriteEntry(name));
+      this.clock.setTimer(ENTRY_EXPIRY_MS, () => {
+        if (this.latestIncarnation(name)?.isRunning === false)
+          this.store.remove(KINDS.engines, name);
       });
     }
   }
 
-  /** Ends every cut. */
+  /** Ends all partitions. */
   heal(): void {
-    for (const address of [...this.cuts.keys()]) this.endCut(address);
+    for (const address of [...this.partitions.keys()]) this.endPartition(address);
   }
 
   private get wallMs(): number {
     return Math.round(this.clock.wallNow());
   }
 
-  private lifeOf(name: string): SimulatedEngine | undefined {
-    return this.lives.findLast((engine) => engine.name === name);
+  private latestIncarnation(name: string): SimulatedEngine | undefined {
+    return this.incarnations.findLast((engine) => engine.name === name);
   }
 
-  private begin(identity: EngineIdentity, version: number, clockStepMs: number): SimulatedEngine {
-    const taken = new Set(
-      this.lives.filter(({ name }) => name === identity.name).map(({ bornMs }) => bornMs),
+  private start(identity: EngineIdentity, version: number, clockStepMs: number): SimulatedEngine {
+    const usedStartTimes = new Set(
+      this.incarnations.filter(({ name }) => name === identity.name).map(({ bornMs }) => bornMs),
     );
     let bornMs = this.wallMs - clockStepMs;
-    while (taken.has(bornMs)) bornMs += 1;
+    while (usedStartTimes.has(bornMs)) bornMs += 1;
     const engine = new SimulatedEngine(identity, bornMs);
     engine.weightsVersion = version;
     engine.onCrashed = () => this.restartCrashed(engine);
-    this.lives.push(engine);
+    this.incarnations.push(engine);
     return engine;
   }
 
-  private beginAgain(former: SimulatedEngine, rebirth: EngineRestart): void {
-    const version = rebirth.losesLoad ? former.earlierVersion : former.weightsVersion;
-    this.clock.setTimer(rebirth.downMs, () => {
-      const engine = this.begin(former.identity, version, rebirth.clockStepMs);
-      this.clock.setTimer(rebirth.entryDelayMs, () => this.writeEntry(engine));
+  private scheduleRestart(previous: SimulatedEngine, options: EngineRestart): void {
+    const version = options.losesLoad ? previous.previousVersion : previous.weightsVersion;
+    this.clock.setTimer(options.downMs, () => {
+      const engine = this.start(previous.identity, version, options.clockStepMs);
+      this.clock.setTimer(options.entryDelayMs, () => this.writeEntry(engine));
     });
   }
 
-  /** A crashed engine comes back at its address; its old entry lapses unless a new one is there. */
-  private restartCrashed(former: SimulatedEngine): void {
-    if (this.restartsUnderName) this.beginAgain(former, CRASH);
+  /** Restarts or replaces a crashed engine; its old entry expires unless it was rewritten. */
+  private restartCrashed(previous: SimulatedEngine): void {
+    if (this.restartsUnderName) this.scheduleRestart(previous, CRASH);
     else {
-      this.clock.setTimer(CRASH_RESTART_MS, () => this.add(former.service, former.address));
+      this.clock.setTimer(CRASH_RESTART_MS, () => this.add(previous.service, previous.address));
     }
-    this.clock.setTimer(ENTRY_LAPSE_MS, () => this.removeEntry(former));
+    this.clock.setTimer(ENTRY_EXPIRY_MS, () => this.removeEntry(previous));
   }
 
-  private enterDraining(engine: SimulatedEngine): void {
+  private writeDrainingEntry(engine: SimulatedEngine): void {
     if (!engine.isRunning) return;
     if (this.store.isDown) {
-      this.clock.setTimer(ENTRY_RETRY_MS, () => this.enterDraining(engine));
+      this.clock.setTimer(WRITE_RETRY_MS, () => this.writeDrainingEntry(engine));
       return;
     }
     this.store.put(KINDS.engines, engine.name, entryOf(engine));
     this.onDraining(engine.id);
-    this.clock.setTimer(SERVES_ON_MS, () => this.endDrained(engine));
+    this.clock.setTimer(DRAIN_MS, () => this.stopDrained(engine));
   }
 
-  private endDrained(engine: SimulatedEngine): void {
-    // A life that has begun since has not announced that it leaves.
-    if (this.lifeOf(engine.name) !== engine) return;
+  private stopDrained(engine: SimulatedEngine): void {
+    // A later incarnation is not draining.
+    if (this.latestIncarnation(engine.name) !== engine) return;
     engine.crash();
     this.removeEntry(engine);
     this.add(engine.service);
   }
 
   private removeEntry(engine: SimulatedEngine): void {
-    if (this.lifeOf(engine.name) === engine) this.store.remove(KINDS.engines, engine.name);
+    if (this.latestIncarnation(engine.name) === engine)
+      this.store.remove(KINDS.engines, engine.name);
   }
 
-  private writeEntryAgain(name: string): void {
-    const engine = this.lifeOf(name);
+  private rewriteEntry(name: string): void {
+    const engine = this.latestIncarnation(name);
     if (!engine) return;
     const entry = entryOf(engine);
-    // What changes nothing raises no revision.
+    // An unchanged entry must not raise the revision.
     if (!isDeepStrictEqual(this.store.get(KINDS.engines, name)?.spec, entry))
       this.writeEntry(engine);
   }
 
-  /** Writes as long as the life lasts, until the store takes it. */
+  /** Writes the entry, retrying until the store accepts it or the incarnation ends. */
   private writeEntry(engine: SimulatedEngine): void {
     if (!engine.isRunning) return;
     if (this.store.isDown) {
-      this.clock.setTimer(ENTRY_RETRY_MS, () => this.writeEntry(engine));
+      this.clock.setTimer(WRITE_RETRY_MS, () => this.writeEntry(engine));
       return;
     }
     this.store.put(KINDS.engines, engine.name, entryOf(engine));
   }
 
-  private cutOff(address: string, broken: readonly RunningRequest[], forMs: number): void {
-    const hanging = this.cuts.get(address) ?? new Set<RunningRequest>();
-    for (const request of broken) hanging.add(request);
-    this.cuts.set(address, hanging);
-    this.clock.setTimer(forMs, () => this.endCut(address));
+  private partition(address: string, broken: readonly RunningRequest[], forMs: number): void {
+    const pending = this.partitions.get(address) ?? new Set<RunningRequest>();
+    for (const request of broken) pending.add(request);
+    this.partitions.set(address, pending);
+    this.clock.setTimer(forMs, () => this.endPartition(address));
   }
 
-  /** What hung finds its connection reset. */
-  private endCut(address: string): void {
-    const hanging = this.cuts.get(address) ?? new Set<RunningRequest>();
-    this.cuts.delete(address);
-    for (const request of hanging) request.breakOff();
+  /** Ends a partition; pending requests fail with a connection reset. */
+  private endPartition(address: string): void {
+    const pending = this.partitions.get(address) ?? new Set<RunningRequest>();
+    this.partitions.delete(address);
+    for (const request of pending) request.breakOff();
   }
 }
 
--- a/src/lab/gateway-simulation/simulated-inference.ts
+++ b/src/lab/gateway-simulation/simulated-inference.ts
@@ -1,4 +1,4 @@
-/** One router's access to the simulated engines: the inference port without sockets. */
+/** Inference port of one router that reaches simulated engines without sockets. */
 import {
   type CacheContents,
   type CacheEventPage,
@@ -21,17 +21,17 @@
   type ObservedRun,
   type SimulatedEngine,
 } from './simulated-engine.js';
-import { SimulatedExchange, WAY_MS } from './simulated-exchange.js';
+import { SimulatedExchange, NETWORK_DELAY_MS } from './simulated-exchange.js';
 import { OrderFault, type SimulatedFleet } from './simulated-fleet.js';
 import { CRASHING_BODY } from './simulation-fixtures.js';
 
 const LOAD_MS = 300;
 const REPORT_TIMEOUT_MS = 400;
-/** An order that the network holds up arrives this much later. */
-const LATE_ORDER_MS = 2_500;
-const NO_ANSWER: OrderResult = { kind: 'unknown', reason: 'silent' };
+/** Delay of a load command that the network holds back. */
+const LATE_COMMAND_MS = 2_500;
+const NO_RESPONSE: OrderResult = { kind: 'unknown', reason: 'silent' };
 
-/** One router's access to the engines. */
+/** Inference port of one router. */
 export class SimulatedInference implements InferencePort {
   private readonly exchanges = new Set<SimulatedExchange>();
 
@@ -49,46 +49,48 @@
     options: SendOptions,
     listener: ExchangeListener,
   ): Exchange {
-    this.noteStray(endpoint);
+    this.recordMalformedUse(endpoint);
     const exchange = new SimulatedExchange(request, options, listener, this.clock, this.host);
     this.exchanges.add(exchange);
-    this.clock.setTimer(WAY_MS, () => this.arrive(endpoint, exchange, options, request));
+    this.clock.setTimer(NETWORK_DELAY_MS, () => this.arrive(endpoint, exchange, options, request));
     return exchange;
   }
 
   checkListener({ address }: EngineEndpoint): Promise<ListenerState> {
-    return this.answer(() => {
-      if (this.fleet.cutAt(address)) return ListenerState.Silent;
-      const isRunning = this.fleet.at(address)?.isRunning ?? false;
+    return this.respond(() => {
+      if (this.fleet.partitionAt(address)) return ListenerState.Silent;
+      const isRunning = this.fleet.latestAt(address)?.isRunning ?? false;
       return isRunning ? ListenerState.Listening : ListenerState.Refused;
     }, ListenerState.Silent);
   }
 
-  order(endpoint: EngineEndpoint, order: WeightOrder): Promise<OrderResult> {
-    this.noteStray(endpoint);
+  order(endpoint: EngineEndpoint, command: WeightOrder): Promise<OrderResult> {
+    this.recordMalformedUse(endpoint);
     const sentMs = this.clock.now();
     const fault = this.fleet.orderFaults.shift();
-    return this.answer(() => {
+    return this.respond(() => {
       if (fault === OrderFault.Late) {
-        this.clock.setTimer(LATE_ORDER_MS, () => this.takeOrder(endpoint, order, sentMs));
-        return NO_ANSWER;
+        this.clock.setTimer(LATE_COMMAND_MS, () =>
+          this.applyLoadCommand(endpoint, command, sentMs),
+        );
+        return NO_RESPONSE;
       }
-      if (this.fleet.cutAt(endpoint.address)) return NO_ANSWER;
-      const result = this.takeOrder(endpoint, order, sentMs);
-      return fault === OrderFault.AnswerLost ? NO_ANSWER : result;
-    }, NO_ANSWER);
+      if (this.fleet.partitionAt(endpoint.address)) return NO_RESPONSE;
+      const result = this.applyLoadCommand(endpoint, command, sentMs);
+      return fault === OrderFault.ResponseLost ? NO_RESPONSE : result;
+    }, NO_RESPONSE);
   }
 
   weightState(endpoint: EngineEndpoint): Promise<WeightState | undefined> {
-    return this.answer(() => {
-      if (this.fleet.cutAt(endpoint.address)) return undefined;
+    return this.respond(() => {
+      if (this.fleet.partitionAt(endpoint.address)) return undefined;
       const engine = this.engineOf(endpoint);
       return (
         engine && {
           bornMs: engine.bornMs,
           version: engine.weightsVersion,
           isBusy: engine.isLoading,
-          orderSequence: engine.sequence,
+          orderSequence: engine.commandSequence,
         }
       );
     }, undefined);
@@ -98,7 +100,7 @@
     return new Promise((resolve) => {
       this.clock.setTimer(waitMs, () =>
         this.host.deliver(() => {
-          const bornMs = this.fleet.at(address)?.bornMs;
+          const bornMs = this.fleet.latestAt(address)?.bornMs;
           resolve({ bornMs, epoch: bornMs ?? 1, next: since, hasGap: false, events: [] });
         }),
       );
@@ -106,15 +108,15 @@
   }
 
   cacheContents(address: string): Promise<CacheContents> {
-    const bornMs = this.fleet.at(address)?.bornMs;
+    const bornMs = this.fleet.latestAt(address)?.bornMs;
     return Promise.resolve({ bornMs, epoch: bornMs ?? 1, next: 0, held: [] });
   }
 
   retain(): void {
-    // Simulated connections cost nothing.
+    // There are no connections to close.
   }
 
-  /** The router's process has ended: its connections break. */
+  /** Breaks all connections because the router's process has ended. */
   breakAll(): void {
     for (const exchange of this.exchanges) exchange.cancel();
   }
@@ -125,13 +127,13 @@
     options: SendOptions,
     request: ForwardedRequest,
   ): void {
-    if (exchange.isOver) return;
-    const hanging = this.fleet.cutAt(endpoint.address);
-    if (hanging) {
-      hanging.add(exchange);
+    if (exchange.isEnded) return;
+    const pending = this.fleet.partitionAt(endpoint.address);
+    if (pending) {
+      pending.add(exchange);
       return;
     }
-    const engine = this.fleet.at(endpoint.address);
+    const engine = this.fleet.latestAt(endpoint.address);
     if (!engine?.isRunning) {
       exchange.fail('not-sent');
       return;
@@ -143,17 +145,17 @@
       exchange.refuse(421);
       return;
     }
-    this.noteArrival(engine, exchange, request.id);
+    this.recordArrival(engine, exchange, request.id);
     if (engine.mode === EngineMode.Busy || isLoadingModel(engine)) {
       exchange.refuse(503);
       return;
     }
-    const begin = (): void => this.begin(engine, exchange, options, request);
-    if (engine.queueMs === 0) begin();
-    else exchange.waitInQueue(engine.queueMs, begin);
+    const start = (): void => this.startRun(engine, exchange, options, request);
+    if (engine.queueMs === 0) start();
+    else exchange.waitInQueue(engine.queueMs, start);
   }
 
-  private noteArrival(
+  private recordArrival(
     engine: SimulatedEngine,
     exchange: SimulatedExchange,
     requestId: string,
@@ -167,8 +169,8 @@
     });
   }
 
-  /** The request begins to run, on the weights that the engine has by now. */
-  private begin(
+  /** Starts the request with the weights that the engine has now. */
+  private startRun(
     engine: SimulatedEngine,
     exchange: SimulatedExchange,
     options: SendOptions,
@@ -209,47 +211,56 @@
     exchange.crash(engine, run, crash);
   }
 
-  private takeOrder(endpoint: EngineEndpoint, order: WeightOrder, sentMs: number): OrderResult {
+  private applyLoadCommand(
+    endpoint: EngineEndpoint,
+    command: WeightOrder,
+    sentMs: number,
+  ): OrderResult {
     const engine = this.engineOf(endpoint);
-    if (!engine?.takesOrders) return NO_ANSWER;
+    if (!engine?.takesOrders) return NO_RESPONSE;
     const { bornMs } = engine;
-    if (order.fencingToken < engine.highestToken) return { kind: 'rejected', status: 412, bornMs };
-    engine.highestToken = order.fencingToken;
-    if (engine.isLoading || order.expectedSequence !== engine.sequence) {
+    if (command.fencingToken < engine.highestToken)
+      return { kind: 'rejected', status: 412, bornMs };
+    engine.highestToken = command.fencingToken;
+    if (engine.isLoading || command.expectedSequence !== engine.commandSequence) {
       return { kind: 'rejected', status: 409, bornMs };
     }
-    if (engine.weightsVersion >= order.version) return { kind: 'already-done', bornMs };
-    engine.sequence += 1;
+    if (engine.weightsVersion >= command.version) return { kind: 'already-done', bornMs };
+    engine.commandSequence += 1;
     engine.isLoading = true;
     this.observations.orders.push({
       engineId: engine.id,
-      holder: order.holder,
-      token: order.fencingToken,
+      holder: command.holder,
+      token: command.fencingToken,
       sentMs,
     });
     this.clock.setTimer(LOAD_MS, () => {
       engine.isLoading = false;
-      engine.weightsVersion = order.version;
+      engine.weightsVersion = command.version;
     });
     return { kind: 'accepted', bornMs };
   }
 
-  /** The engine of that name at the address, whichever of its lives. */
+  /** Running incarnation at the endpoint's address, if the engine's name matches. */
   private engineOf({ name, address }: EngineEndpoint): SimulatedEngine | undefined {
-    const engine = this.fleet.at(address);
+    const engine = this.fleet.latestAt(address);
     return engine?.isRunning && engine.name === name ? engine : undefined;
   }
 
-  private noteStray({ name }: EngineEndpoint): void {
-    if (!this.fleet.isOddName(name)) return;
-    this.observations.strays.push({ entry: name, router: this.router, atMs: this.clock.now() });
+  private recordMalformedUse({ name }: EngineEndpoint): void {
+    if (!this.fleet.isMalformedEntryName(name)) return;
+    this.observations.malformedUses.push({
+      entry: name,
+      router: this.router,
+      atMs: this.clock.now(),
+    });
   }
 
-  private answer<Result>(action: () => Result, silent: Result): Promise<Result> {
+  private respond<Result>(action: () => Result, timeoutResult: Result): Promise<Result> {
     return new Promise((resolve) => {
-      this.clock.setTimer(WAY_MS, () => {
+      this.clock.setTimer(NETWORK_DELAY_MS, () => {
         const result = action();
-        const delayMs = result === silent ? REPORT_TIMEOUT_MS : WAY_MS;
+        const delayMs = result === timeoutResult ? REPORT_TIMEOUT_MS : NETWORK_DELAY_MS;
         this.clock.setTimer(delayMs, () => this.host.deliver(() => resolve(result)));
       });
     });
--- a/src/lab/gateway-simulation/simulated-object-store.ts
+++ b/src/lab/gateway-simulation/simulated-object-store.ts
@@ -1,10 +1,10 @@
-/** A stand-in of the platform's object store that can be down, slow to some, and lose answers. */
+/** Simulated object store of the platform, with outages, slow lists and lost responses. */
 import type { Clock } from '../../runtime/clock.js';
 
 const FIRST_REVISION = 1;
 
-/** An object as it lies in the store. */
-export interface HeldObject {
+/** An object in the store. */
+export interface SimulatedObject {
   readonly name: string;
   /** Revision of its last change. */
   readonly revision: number;
@@ -14,34 +14,34 @@
 /** A change of one object. */
 export interface HistoryEntry {
   readonly kind: string;
-  readonly object: HeldObject;
+  readonly object: SimulatedObject;
   readonly isGone: boolean;
   readonly revision: number;
   readonly atMs: number;
 }
 
-/** What becomes of the next writes. */
+/** Fault of a write. */
 export type WriteFault = 'answer-lost' | 'late';
 
-/** The store itself; shared by all routers and the operator. */
+/** The store, shared by all routers, the engines and the operator. */
 export class SimulatedObjectStore {
-  private readonly kinds = new Map<string, Map<string, HeldObject>>();
+  private readonly kinds = new Map<string, Map<string, SimulatedObject>>();
   private history: HistoryEntry[] = [];
-  /** All changes since the store was made, whatever the history has forgotten. */
+  /** All changes since the start, including those that were compacted from the history. */
   private changes: HistoryEntry[] = [];
   private readonly waiting = new Set<() => void>();
   private latest = FIRST_REVISION;
   private oldestKnown = 0;
-  private presentEra = 1;
+  private currentEra = 1;
   isDown = false;
-  /** Refuses every call at once, as a store does that is busy. */
+  /** Rejects every call at once as busy. */
   isBusy = false;
-  /** Calls that came, answered or not. */
+  /** Number of calls, including failed ones. */
   calls = 0;
-  /** Routers that get no answer. */
+  /** Routers that can't reach the store. */
   readonly unreachableFor = new Set<string>();
   readonly writeFaults: WriteFault[] = [];
-  /** How much longer the answers to the next lists take, in milliseconds. */
+  /** Additional delays of the next list responses, in milliseconds. */
   readonly listDelaysMs: number[] = [];
 
   constructor(readonly clock: Clock) {}
@@ -50,12 +50,12 @@
     return this.latest;
   }
 
-  /** Rises each time that the store comes back from an older copy of itself. */
+  /** Increases with each restoration from an older copy. */
   get era(): number {
-    return this.presentEra;
+    return this.currentEra;
   }
 
-  /** Writes without a condition, as the operator and the engines do. */
+  /** Writes unconditionally, as the operator and the engines do. */
   put(kind: string, name: string, spec: unknown): void {
     this.latest += 1;
     const object = { name, revision: this.latest, spec };
@@ -71,15 +71,15 @@
     this.record({ kind, object, isGone: true, revision: this.latest, atMs: this.clock.now() });
   }
 
-  get(kind: string, name: string): HeldObject | undefined {
+  get(kind: string, name: string): SimulatedObject | undefined {
     return this.objectsOf(kind).get(name);
   }
 
-  all(kind: string): HeldObject[] {
+  all(kind: string): SimulatedObject[] {
     return [...this.objectsOf(kind).values()];
   }
 
-  /** Forgets the history, so that watches must list again. */
+  /** Drops the history, so that watchers must list again. */
   compact(): void {
     this.history = [];
     this.oldestKnown = this.latest;
@@ -87,11 +87,11 @@
   }
 
   /**
-   * The store is back from the copy that was made at a moment: what was written later is gone, and its
-   * revisions are given out again.
+   * Restores the copy made at `copiedMs`: later writes are lost, and their revisions are assigned
+   * again.
    */
   restore(copiedMs: number): void {
-    this.presentEra += 1;
+    this.currentEra += 1;
     this.changes = this.changes.filter(({ atMs }) => atMs <= copiedMs);
     this.latest = this.changes.at(-1)?.revision ?? FIRST_REVISION;
     this.oldestKnown = Math.min(this.oldestKnown, this.latest);
@@ -109,13 +109,13 @@
     return this.history.filter((entry) => entry.kind === kind && entry.revision > revision);
   }
 
-  /** Calls back at the next change or compaction; the result ends the wait. */
+  /** Calls back on each change or compaction, until the returned function is called. */
   onChange(callback: () => void): () => void {
     this.waiting.add(callback);
     return () => this.waiting.delete(callback);
   }
 
-  private objectsOf(kind: string): Map<string, HeldObject> {
+  private objectsOf(kind: string): Map<string, SimulatedObject> {
     let objects = this.kinds.get(kind);
     if (!objects) {
       objects = new Map();
--- a/src/lab/gateway-simulation/simulated-operator.ts
+++ b/src/lab/gateway-simulation/simulated-operator.ts
@@ -1,4 +1,4 @@
-/** What the operator of the simulated deployment has written to the store, and writes again where it is lost. */
+/** Simulated operator that writes objects to the store and rewrites those that were lost. */
 import type { SimulatedObjectStore } from './simulated-object-store.js';
 
 interface WrittenObject {
@@ -7,7 +7,6 @@
   readonly spec: unknown;
 }
 
-/** The operator. */
 export class SimulatedOperator {
   private readonly written = new Map<string, WrittenObject>();
 
@@ -18,13 +17,13 @@
     this.store.put(kind, name, spec);
   }
 
-  /** The newest contents of an object, whether or not the store still holds them. */
-  newest(kind: string, name: string): unknown {
+  /** Last written contents of an object, even if the store has lost them. */
+  latestSpec(kind: string, name: string): unknown {
     return this.written.get(`${kind}/${name}`)?.spec;
   }
 
-  /** Writes again what the store holds otherwise. */
-  writeAgain(): void {
+  /** Rewrites all objects that differ from the store. */
+  rewriteLost(): void {
     for (const { kind, name, spec } of this.written.values()) {
       if (this.store.get(kind, name)?.spec !== spec) this.store.put(kind, name, spec);
     }
--- a/src/lab/gateway-simulation/simulation-fixtures.ts
+++ b/src/lab/gateway-simulation/simulation-fixtures.ts
@@ -1,4 +1,4 @@
-/** What the simulated deployment is set up with: settings, configuration, requests. */
+/** Settings, configuration and requests of the simulated deployment. */
 import type { GatewaySettings } from '../../coordination/gateway/gateway-settings.js';
 import type { ObjectDecoder, ObjectKinds } from '../../coordination/gateway/object-decoder.js';
 import type { InboundRequest } from '../../coordination/gateway/reply.js';
@@ -6,7 +6,7 @@
 import type { TenantLimit } from '../../state/routing/quota/tenant-limit.js';
 import { decodeStoredEngine } from './stored-engine.js';
 
-/** Kinds of request the callers of the simulation send. */
+/** Kinds of request that simulated callers send. */
 export type RequestKind = 'plain-unsafe' | 'plain-safe' | 'stream-resumable' | 'stream-once';
 
 /** Bounds of the simulated deployment, in milliseconds. */
@@ -14,21 +14,20 @@
   revokeMs: 5_000,
   drainMs: 2_000,
   leaseMs: 3_000,
-  /** From the naming of weights until no request may begin on older ones. */
+  /** From the publication of weights until no request may start on older ones. */
   versionMs: 7_700,
-  /** From the acknowledgement of a configuration until it binds at all routers. */
+  /** From the acknowledgement of a configuration until it is effective on all routers. */
   applyMs: 3_000,
 } as const;
 
 export const SIMULATION_MODEL = 'model-a';
 export const ISOLATED_TENANT = 'tenant-1';
-/** Services of the deployment. */
 export const GENERATION_SERVICE = 'generation';
 export const PLAIN_SERVICE = 'plain';
-/** Routers of the deployment. */
+/** Number of routers. */
 export const ROUTERS = 3;
 
-/** Kinds of object. */
+/** Kinds of objects in the store. */
 export const KINDS: ObjectKinds = {
   configuration: 'configuration',
   engines: 'engines',
@@ -36,12 +35,12 @@
   leases: 'leases',
   quarantine: 'quarantine',
 };
-/** All keys that tenants ever hold. */
+/** All API keys that tenants may have. */
 export const KEYS = new Map([
   ['tenant-1', ['key-1a', 'key-1b']],
   ['tenant-2', ['key-2a', 'key-2b']],
 ]);
-/** Objects of the simulation hold the product's values, but for what JSON can't carry. */
+/** Decodes stored objects, which hold the decoded values except for those JSON can't represent. */
 export const DECODER: ObjectDecoder = {
   configuration: (object) => ({ kind: 'value', value: object.spec as RoutingConfiguration }),
   engine: decodeStoredEngine,
@@ -51,7 +50,7 @@
   }),
 };
 
-/** Name of a router's machine. */
+/** Node identifier of a router. */
 export function routerName(index: number): string {
   return `router-${index % ROUTERS}`;
 }
@@ -98,7 +97,7 @@
   };
 }
 
-/** A configuration with all kinds of route. */
+/** A configuration with a route for each kind of request. */
 export function simulationConfiguration(
   version: number,
   tenants: readonly { name: string; keys: string[]; limit?: TenantLimit | undefined }[],
@@ -160,18 +159,18 @@
   return kind.startsWith('stream') ? `stream/${kind}` : `plain/${kind}`;
 }
 
-/** What a stream declares: 900 tokens of its prompt and 10 at most to come. */
+/** Tokens that a stream declares: 900 of the prompt and at most 10 of output. */
 export const STREAM_TOKENS = 910;
-/** How far routers may pass the limits of tenants: by two streams each, beside a tenth. */
+/** How far routers may exceed tenant limits: by two streams each, plus a share of the limit. */
 export const SIMULATION_QUOTA_TOLERANCE = {
   windowMs: 8_000,
   overageShare: 0.1,
   slack: 6 * STREAM_TOKENS,
 } as const;
-/** Bodies that begin so crash each engine that runs them. */
+/** Prefix of bodies that crash every engine running them. */
 export const CRASHING_BODY = 'crashes-engines';
 
-/** A request as a caller sends it; the same body makes it the same request under another identifier. */
+/** A caller's request. Requests with the same body count as the same request. */
 export function inboundRequest(
   id: string,
   kind: RequestKind,
--- a/src/lab/gateway-simulation/simulation-mutation.ts
+++ b/src/lab/gateway-simulation/simulation-mutation.ts
@@ -1,28 +1,28 @@
-/** How a simulated deployment differs from a sound one. */
+/** Mutations of a simulated deployment. */
 import type { GatewaySettings } from '../../coordination/gateway/gateway-settings.js';
 import type { ObjectDecoder } from '../../coordination/gateway/object-decoder.js';
 import type { InferencePort } from '../../protocol/inference/port.js';
 import type { TenantLimit } from '../../state/routing/quota/tenant-limit.js';
 import type { DatagramTransport } from '../../transport/datagram-transport.js';
 
-/** What a router sees of the engines: their answers and, decoded, their entries. */
+/** A router's access to engines: their responses and their decoded entries. */
 export interface RouterView {
   readonly engines: InferencePort;
   readonly decoder: ObjectDecoder;
 }
 
-/** Parts of a deployment that a mutation may weaken, to see that the oracle finds it. */
+/** Parts of a deployment that a mutation changes, to check that the oracle detects it. */
 export interface SimulationMutation {
   readonly settings?: Partial<GatewaySettings>;
   readonly decoder?: (decoder: ObjectDecoder) => ObjectDecoder;
-  /** Called once for a deployment: what changes the view of each of its routers, as they start. */
+  /** Called once per deployment; the result is applied to the view of each router at its start. */
   readonly makeView?: () => (view: RouterView) => RouterView;
-  /** What each tenant may use; undefined: no limit. */
+  /** Limit of each tenant; undefined: no limit. */
   readonly tenantLimit?: TenantLimit;
-  /** Changes what a router sends to others. */
+  /** Wraps the transport for datagrams between routers. */
   readonly datagrams?: (transport: DatagramTransport) => DatagramTransport;
-  /** False: routers take the steady clock for one that counts suspensions. */
+  /** False: the monotonic clock does not advance during a suspension. */
   readonly countsSuspensions?: boolean;
-  /** False: routers do not see the store's eras. */
+  /** False: responses of the store carry no eras. */
   readonly seesEras?: boolean;
 }
--- a/src/lab/gateway-simulation/simulation-traffic.ts
+++ b/src/lab/gateway-simulation/simulation-traffic.ts
@@ -1,4 +1,4 @@
-/** Requests of all kinds through all routers of the simulated deployment, and what became of them. */
+/** Traffic of all kinds of request through all routers, and its success rate. */
 import type { GatewaySimulation } from './gateway-simulation.js';
 import type { RequestKind } from './simulation-fixtures.js';
 
@@ -9,20 +9,20 @@
   'stream-once',
 ];
 
-/** Sends by turns through all routers for a while, one request each `gapMs`. */
+/** Sends a request every `gapMs` for `forMs`, in rotation over routers and kinds. */
 export async function sendAllKinds(
-  world: GatewaySimulation,
+  simulation: GatewaySimulation,
   forMs: number,
   gapMs: number,
 ): Promise<void> {
-  for (let spentMs = 0; spentMs < forMs; spentMs += gapMs) {
-    const turn = spentMs / gapMs;
-    world.request(turn, KINDS[turn % KINDS.length] as RequestKind, 'tenant-2', 0);
-    await world.clock.advance(gapMs);
+  for (let elapsedMs = 0; elapsedMs < forMs; elapsedMs += gapMs) {
+    const step = elapsedMs / gapMs;
+    simulation.request(step, KINDS[step % KINDS.length] as RequestKind, 'tenant-2', 0);
+    await simulation.clock.advance(gapMs);
   }
 }
 
-/** Share of all requests so far that were answered with success, 0 to 1. */
+/** Share of all requests so far that succeeded, from 0 to 1. */
 export function servedShare({ requests }: GatewaySimulation): number {
   return requests.filter(({ reply }) => reply.status === 200).length / requests.length;
 }
--- a/src/lab/gateway-simulation/stored-engine.ts
+++ b/src/lab/gateway-simulation/stored-engine.ts
@@ -1,25 +1,25 @@
-/** Engines' entries as the simulated store holds them, and how the routers' decoder reads them. */
+/** Engine entries in the simulated store, and their decoder. */
 import type { Decoded } from '../../coordination/gateway/object-decoder.js';
 import type { StoredObject } from '../../protocol/object-store/port.js';
 import { incarnationOf } from '../../state/routing/engine-incarnation.js';
 import type { EngineRecord } from '../../state/routing/engine-registry.js';
 
-/** An engine's entry: values that JSON can carry. Its key in the store is the engine's name. */
+/** An engine's entry in JSON-compatible form. Its key in the store is the engine's name. */
 export type StoredEngine = Omit<EngineRecord, 'id' | 'modelVersions'> & {
   readonly modelVersions: readonly (readonly [model: string, version: number])[];
 };
 
-/** Reads an entry, which another writer may have left. */
+/** Decodes an entry, which may be malformed. */
 export function decodeStoredEngine({ spec }: StoredObject): Decoded<EngineRecord> {
-  const fault = faultOf(spec);
+  const fault = findFault(spec);
   if (fault !== undefined) return { kind: 'malformed', reason: fault };
   const { modelVersions, ...entry } = spec as StoredEngine;
   const id = incarnationOf(entry.name, entry.bornMs);
   return { kind: 'value', value: { ...entry, id, modelVersions: new Map(modelVersions) } };
 }
 
-/** The first field that is not as engines write it; undefined where all are. */
-function faultOf(spec: unknown): string | undefined {
+/** Describes the first malformed field; undefined if the entry is valid. */
+function findFault(spec: unknown): string | undefined {
   if (typeof spec !== 'object' || spec === null) return 'entry: unreadable';
   const { name, address, service, slots, isDraining, modelVersions } = spec as Record<
     string,
--- a/test/gateway/engine-life-fuzz.test.ts
+++ b/test/gateway/engine-life-fuzz.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's stateful fuzz on engines that start again under their names. */
-import { declareEngineLifeFuzz } from '../../fuzz/gateway-suite.js';
+/** Guards against rule violations when engines restart under their names. */
+import { declareEngineRestartFuzz } from '../../fuzz/gateway-suite.js';
 
-declareEngineLifeFuzz([303, 404]);
+declareEngineRestartFuzz([303, 404]);
--- a/test/gateway/engine-life-mutations.test.ts
+++ b/test/gateway/engine-life-mutations.test.ts
@@ -1,4 +1,4 @@
-/** Routers that keep something of an engine's former life, which the gateway's fuzz must find. */
-import { declareEngineLifeMutations } from '../../fuzz/gateway-suite.js';
+/** Checks that the fuzz test detects state kept from an engine's previous incarnation. */
+import { declareEngineRestartMutations } from '../../fuzz/gateway-suite.js';
 
-declareEngineLifeMutations();
+declareEngineRestartMutations();
--- a/test/gateway/engine-limit-fuzz.test.ts
+++ b/test/gateway/engine-limit-fuzz.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's fuzz with engines that take a limited number of requests a second. */
+/** Guards against routers that exceed the requests per second that engines announce. */
 import { engineLimitCommands } from '../../fuzz/engine-limit-commands.js';
 import { ENGINE_LIMIT_MUTATIONS } from '../../fuzz/engine-limit-mutations.js';
 import { declareGatewayFuzz, declareMutations } from '../../fuzz/gateway-suite.js';
--- a/test/gateway/engine-notice-fuzz.test.ts
+++ b/test/gateway/engine-notice-fuzz.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's fuzz with engines that leave while the store is out, and engines that ask for pauses. */
+/** Guards against requests to engines that are shutting down or have requested a backoff. */
 import { engineNoticeCommands } from '../../fuzz/engine-notice-commands.js';
 import { ENGINE_NOTICE_MUTATIONS } from '../../fuzz/engine-notice-mutations.js';
 import { declareGatewayFuzz, declareMutations } from '../../fuzz/gateway-suite.js';
--- a/test/gateway/gateway-fuzz-1.test.ts
+++ b/test/gateway/gateway-fuzz-1.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's stateful fuzz, first share of the seeds. */
+/** Guards against rule violations of the gateway under faults, first half of the seeds. */
 import { declareGatewayFuzz } from '../../fuzz/gateway-suite.js';
 
 declareGatewayFuzz([101, 202]);
--- a/test/gateway/gateway-fuzz-2.test.ts
+++ b/test/gateway/gateway-fuzz-2.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's stateful fuzz, second share of the seeds. */
+/** Guards against rule violations of the gateway under faults, second half of the seeds. */
 import { declareGatewayFuzz } from '../../fuzz/gateway-suite.js';
 
 declareGatewayFuzz([303, 404]);
--- a/test/gateway/gateway-mutations-1.test.ts
+++ b/test/gateway/gateway-mutations-1.test.ts
@@ -1,4 +1,4 @@
-/** Weakened routers that the gateway's fuzz must find, share 1 of 3. */
+/** Checks that the fuzz test detects mutations of routers, part 1 of 3. */
 import { declareGatewayMutations } from '../../fuzz/gateway-suite.js';
 
 declareGatewayMutations(0, 3);
--- a/test/gateway/kept-prefixes-fuzz.test.ts
+++ b/test/gateway/kept-prefixes-fuzz.test.ts
@@ -1,4 +1,4 @@
-/** What a router believes that an engine keeps, while the engine restarts under its name. */
-import { declareKeptPrefixesFuzz } from '../../fuzz/gateway-suite.js';
+/** Guards against wrong estimates of cached prefixes after an engine's restart. */
+import { declareCachedPrefixesFuzz } from '../../fuzz/gateway-suite.js';
 
-declareKeptPrefixesFuzz(1);
+declareCachedPrefixesFuzz(1);
--- a/test/gateway/quota-fuzz.test.ts
+++ b/test/gateway/quota-fuzz.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's fuzz with limits of tenants that change, tenants that send far beyond them, and routers cut off. */
+/** Guards against tenants that exceed their limits, also during changes and partitions. */
 import { declareGatewayFuzz, declareMutations } from '../../fuzz/gateway-suite.js';
 import { quotaCommands } from '../../fuzz/quota-commands.js';
 import { QUOTA_MUTATIONS } from '../../fuzz/quota-mutations.js';
--- a/test/gateway/store-restoration-fuzz.test.ts
+++ b/test/gateway/store-restoration-fuzz.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's fuzz with a store that comes back from older copies of itself. */
+/** Guards against rule violations after the store is restored from an older copy. */
 import { declareGatewayFuzz, declareMutations } from '../../fuzz/gateway-suite.js';
 import { storeRestorationCommands } from '../../fuzz/store-restoration-commands.js';
 import { STORE_RESTORATION_MUTATIONS } from '../../fuzz/store-restoration-mutations.js';
