--- a/bench/crash-day.ts
+++ b/bench/crash-day.ts
@@ -56,7 +56,7 @@
     harness.clock.setTimer(random.next() * 50, () => guard?.noteCrash({ engineId, fingerprints }));
     for (const fingerprint of fingerprints) {
       const delayMs = MINIMUM_SUCCESS_DELAY_MS + random.next() * SUCCESS_DELAY_SPREAD_MS;
-      harness.clock.setTimer(delayMs, () => guard?.noteGoodEnd(fingerprint));
+      harness.clock.setTimer(delayMs, () => guard?.recordSuccess(fingerprint));
     }
   }
 }
--- a/bench/deployment.ts
+++ b/bench/deployment.ts
@@ -5,9 +5,13 @@
 import { stringify } from 'yaml';
 import { worldTemplates } from '../src/lab/simulation/world-settings.js';
 import { startAgent } from '../src/programs/agent-program.js';
-import { engineSettingsOf, startEngine, startPlatform } from '../src/programs/stand-in-programs.js';
+import {
+  engineSettingsOf,
+  startEngine,
+  startPlatform,
+} from '../src/programs/simulated-programs.js';
 import type { EngineBehaviour } from '../src/settings/schemas.js';
-import { SilentLogger } from '../src/runtime/logger.js';
+import { NoopLogger } from '../src/runtime/logger.js';
 import { readMetric } from '../src/telemetry/read-metric.js';
 import { Program, waitUntilOk } from '../test/helpers/processes.js';
 
@@ -45,17 +49,17 @@
     { id: 'engine-1', kind: 'engine', address, ...location, services: [], leaving: false },
   ]);
   const router = startRouterProcess(platform.server.address);
-  const operations = await router.field('operations_started', 'address');
+  const operations = await router.waitForLogField('operations_started', 'address');
   await waitUntilOk(`http://${operations}/readyz`);
   const agent = await startAgent(
     {
       node: { id: 'agent-1', zone: 'zone-a', region: 'region' },
       listen: { callers: ANY_ADDRESS, operations: ANY_ADDRESS },
-      routers: [await router.field('router_started', 'peer')],
+      routers: [await router.waitForLogField('router_started', 'peer')],
       default_deadline_ms: DEFAULT_DEADLINE_MS,
       log_level: 'silent',
     },
-    new SilentLogger(),
+    new NoopLogger(),
   );
   const ENGINE_REPORT_MS = 1_000;
   await new Promise((resolve) => setTimeout(resolve, ENGINE_REPORT_MS));
--- a/bench/group-deployment.ts
+++ b/bench/group-deployment.ts
@@ -28,7 +28,7 @@
   SimulatedFrameTransport,
   SimulatedSockets,
 } from '../src/lab/simulation/simulated-transports.js';
-import { SilentLogger } from '../src/runtime/logger.js';
+import { NoopLogger } from '../src/runtime/logger.js';
 import { SeededRandom } from '../src/runtime/random.js';
 import { VirtualClock } from '../src/runtime/virtual-clock.js';
 import { countingDatagrams } from '../test/helpers/counting-datagrams.js';
@@ -144,7 +144,7 @@
         clock: host,
         random: new SeededRandom(SEED * 1_000 + index),
         hasher: this.hasher,
-        logger: new SilentLogger(),
+        logger: new NoopLogger(),
         datagrams: countingDatagrams(transport, () => (this.datagrams += 1)),
         frames: new SimulatedFrameTransport(this.sockets, name, host),
         store: new SimulatedStorePort(this.store, name, host),
--- a/bench/mechanism-profile.ts
+++ b/bench/mechanism-profile.ts
@@ -19,15 +19,15 @@
   ['feeds', /cache-feeds|followed-feeds|feed-share/],
   [
     'placement',
-    /placement|home-ranking|cached-prefixes|save-choice|finish-estimate|prompt-source|engine-health|engine-registry|return-schedule|traffic-split/,
+    /placement|home-ranking|cached-prefixes|save-choice|finish-estimate|prompt-source|engine-health|engine-registry|retry-schedule|traffic-split/,
   ],
   [
     'forwarding',
-    /request-call|\/send\.|call-|send-timeouts|load-share|request-admission|rejection|retry-budget|event-boundary|gateway\/load/,
+    /request-call|\/send\.|call-|send-timeouts|send-load|request-admission|rejection|retry-budget|event-boundary|gateway\/load(?!-codec)/,
   ],
   [
     'reports',
-    /group-reports|group-heartbeats|heartbeats|weight-load-announcements|work-codec|member-key|load-table/,
+    /group-reports|group-heartbeats|heartbeats|weight-load-announcements|load-codec|member-key|load-table/,
   ],
   ['datagram codec', /cluster-codec|member-codec/],
   ['gossip', /\/membership\.|group-membership|group-change-log/],
@@ -46,7 +46,7 @@
   'reachable',
   'get reachable',
   'membersByZone',
-  'byCapability',
+  'byCapacity',
 ]);
 const MICROSECONDS_PER_MS = 1_000;
 const SAMPLE_MICROSECONDS = 250;
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -65,7 +65,7 @@
         stores: [],
         storePressure: StorePressure.High,
         connectionShare: 16,
-        turns: { wallMs: 0, interval: undefined },
+        slotView: { wallMs: 0, interval: undefined },
       },
       tables,
       0,
@@ -80,7 +80,7 @@
     registry.put({
       id: `engine-${index}`,
       name: `engine-${index}`,
-      bornMs: undefined,
+      startedAtMs: undefined,
       service: SERVICE,
       address: `engine-${index}:1`,
       zone: `zone-${index % ZONES}`,
@@ -100,7 +100,7 @@
   const loads = new LoadTable();
   const cachedPrefixes = new CachedPrefixes();
   const versions = new WeightVersions(7_000, new StoreOutages());
-  versions.note(MODEL, { version: 1, namedMs: -100_000, isWitnessed: true });
+  versions.record(MODEL, { version: 1, namedMs: -100_000, isWitnessed: true });
   const engineLoads = new Map(
     [...registry.ids].map((id) => [
       id,
@@ -116,8 +116,8 @@
   for (const id of registry.ids) {
     for (let affinityKey = 0; affinityKey < AFFINITY_KEYS; affinityKey += 1) {
       if (random.next() < CACHED_SHARE)
-        cachedPrefixes.note(id, salt, `subject-${affinityKey}`, SHARED_TOKENS);
+        cachedPrefixes.record(id, salt, `subject-${affinityKey}`, SHARED_TOKENS);
     }
   }
-  return { loads, health: new EngineHealth(), kept: cachedPrefixes, versions, random, homes };
+  return { loads, health: new EngineHealth(), cachedPrefixes, versions, random, homes };
 }
--- a/bench/state.ts
+++ b/bench/state.ts
@@ -97,7 +97,7 @@
   const prompt = Buffer.alloc(BLOCK_BYTES * MARK_BLOCKS * 20, 'a shared beginning ');
   const marks = selectMarks(hashBlocks(hasher, 1n, prompt));
   for (let index = 0; index < 5; index += 1) {
-    for (const mark of marks) directory.hear(`engine-${index}`, 1, mark, true, 0);
+    for (const mark of marks) directory.recordMark(`engine-${index}`, 1, mark, true, 0);
   }
   const random = new SeededRandom(1);
   const request = {
--- a/fuzz/kept-prefixes-fuzz.ts
+++ b/fuzz/cached-prefixes-fuzz.ts
@@ -11,14 +11,14 @@
   simulationConfiguration,
 } from '../src/lab/gateway-simulation/simulation-fixtures.js';
 import type { InferencePort } from '../src/protocol/inference/port.js';
-import { SilentLogger } from '../src/runtime/logger.js';
+import { NoopLogger } from '../src/runtime/logger.js';
 import { SeededRandom } from '../src/runtime/random.js';
 import { VirtualClock } from '../src/runtime/virtual-clock.js';
 import { ConfigurationState } from '../src/state/routing/configuration-state.js';
 import { EngineHealth } from '../src/state/routing/engine-health.js';
 import { CachedPrefixes } from '../src/state/routing/cached-prefixes.js';
 import type { GatewayFuzzResult } from './gateway-run.js';
-import { CachingEngine, SALT } from './keeping-engine.js';
+import { CachingEngine, SALT } from './caching-engine.js';
 import { positionAt } from '../test/helpers/positions.js';
 
 /** A step of a run. */
@@ -70,19 +70,19 @@
 
   constructor(changeView: (view: RouterView) => RouterView) {
     const configuration = new ConfigurationState(Infinity);
-    configuration.adopt(simulationConfiguration(1, []), this.clock.elapsed());
+    configuration.apply(simulationConfiguration(1, []), this.clock.elapsed());
     const own = { nodeId: 'router-1' };
     const view = { engines: this.engine.port as InferencePort, decoder: DECODER };
     this.engines = new ListedEngines({
       ...changeView(view),
       configuration,
       health: new EngineHealth(),
-      kept: this.cachedPrefixes,
+      cachedPrefixes: this.cachedPrefixes,
       group: { own, working: [own] } as unknown as GroupMembership,
       statistics: new GatewayStatistics(),
       clock: this.clock,
       random: new SeededRandom(1),
-      logger: new SilentLogger(),
+      logger: new NoopLogger(),
       drainMs: 2_000,
       entryLifetimeMs: 3_600,
     });
@@ -128,7 +128,7 @@
     this.revision += 1;
     const spec = {
       name: NAME,
-      bornMs: this.engine.bornMs,
+      startedAtMs: this.engine.startedAtMs,
       service: GENERATION_SERVICE,
       address: `${NAME}:1`,
       zone: 'zone-a',
@@ -136,7 +136,7 @@
       isDraining: false,
       modelVersions: [[SIMULATION_MODEL, 1]],
     };
-    this.engines.list.take({ name: NAME, position: positionAt(this.revision), spec });
+    this.engines.list.apply({ name: NAME, position: positionAt(this.revision), spec });
     this.engines.updateFeeds();
   }
 }
--- a/fuzz/keeping-engine.ts
+++ b/fuzz/caching-engine.ts
@@ -13,7 +13,7 @@
 
 /** Cache and event feed of one incarnation. */
 interface Incarnation {
-  readonly bornMs: number;
+  readonly startedAtMs: number;
   readonly events: CacheEvent[];
   readonly cached: Map<string, number>;
 }
@@ -33,8 +33,8 @@
   }
 
   /** Start time of the current incarnation, in Unix milliseconds. */
-  get bornMs(): number {
-    return this.incarnation.bornMs;
+  get startedAtMs(): number {
+    return this.incarnation.startedAtMs;
   }
 
   /** Number of tokens of a part that the current incarnation caches. */
@@ -66,9 +66,9 @@
   }
 
   private startIncarnation(): Incarnation {
-    const bornMs = Math.round(this.clock.wallNow());
-    const previousMs = this.incarnation?.bornMs ?? -Infinity;
-    return { bornMs: Math.max(bornMs, previousMs + 1), events: [], cached: new Map() };
+    const startedAtMs = Math.round(this.clock.wallNow());
+    const previousMs = this.incarnation?.startedAtMs ?? -Infinity;
+    return { startedAtMs: Math.max(startedAtMs, previousMs + 1), events: [], cached: new Map() };
   }
 
   private notifyWaiting(): void {
@@ -76,9 +76,9 @@
   }
 
   private contents(): CacheContents {
-    const { bornMs, events, cached } = this.incarnation;
+    const { startedAtMs, events, cached } = this.incarnation;
     const parts = [...cached].map(([partId, tokens]) => ({ salt: SALT, partId, tokens }));
-    return { bornMs, epoch: bornMs, next: events.length, held: parts };
+    return { startedAtMs, epoch: startedAtMs, next: events.length, held: parts };
   }
 
   /** Resolves on new events or after the wait; rejects if the engine restarts meanwhile. */
@@ -90,8 +90,8 @@
         timer.cancel();
         const next = Math.max(since, queried.events.length);
         const events = queried.events.slice(since);
-        const { bornMs } = queried;
-        resolve(this.delayed({ bornMs, epoch: bornMs, next, hasGap: false, events }));
+        const { startedAtMs } = queried;
+        resolve(this.delayed({ startedAtMs, epoch: startedAtMs, next, hasGap: false, events }));
       };
       const respondIfReady = (): void => {
         if (queried.events.length > since) finish();
--- a/fuzz/change-port.ts
+++ b/fuzz/change-port.ts
@@ -6,8 +6,8 @@
   return {
     send: (...args) => port.send(...args),
     checkListener: (endpoint) => port.checkListener(endpoint),
-    order: (...args) => port.order(...args),
-    weightState: (...args) => port.weightState(...args),
+    sendLoadCommand: (...args) => port.sendLoadCommand(...args),
+    readWeightState: (...args) => port.readWeightState(...args),
     cacheEvents: (...args) => port.cacheEvents(...args),
     cacheContents: (address) => port.cacheContents(address),
     retain: (engineIds) => port.retain(engineIds),
--- a/fuzz/engine-notice-commands.ts
+++ b/fuzz/engine-notice-commands.ts
@@ -5,7 +5,7 @@
 import { type CommandSource, GATEWAY_COMMANDS, engine } from './gateway-commands.js';
 
 const announceShutdown = engine.map((index) =>
-  command(`announceShutdown(${index})`, (simulation) => simulation.fleet.leave(index)),
+  command(`announceShutdown(${index})`, (simulation) => simulation.fleet.announceShutdown(index)),
 );
 
 /** An engine starts its shutdown during a store outage, under continuous traffic. */
@@ -17,9 +17,9 @@
       async (simulation) => {
         const GAP_MS = 60;
         const REWRITE_DELAY_MS = 1_200;
-        if (entriesExpire) simulation.lapseEntries(outageMs, REWRITE_DELAY_MS);
+        if (entriesExpire) simulation.expireEntries(outageMs, REWRITE_DELAY_MS);
         else simulation.stopStore(outageMs);
-        simulation.fleet.leave(index);
+        simulation.fleet.announceShutdown(index);
         for (let elapsedMs = 0; elapsedMs < outageMs; elapsedMs += GAP_MS) {
           const kind = elapsedMs % (2 * GAP_MS) === 0 ? 'plain-safe' : 'stream-resumable';
           simulation.request(elapsedMs / GAP_MS, kind, 'tenant-2', 0);
@@ -45,7 +45,7 @@
   command('recoverEngines()', (simulation) => {
     const MAXIMUM_ENGINES = 10;
     for (let index = 0; index < MAXIMUM_ENGINES; index += 1) {
-      simulation.engine(index).mode = EngineMode.Sound;
+      simulation.engine(index).mode = EngineMode.Healthy;
     }
   }),
 );
@@ -60,7 +60,7 @@
     simulation.engine(index).mode = EngineMode.Busy;
     simulation.engine(index).backoffMs = 8_000;
     for (let step = 0; step < REQUESTS; step += 1) {
-      if (step === REQUESTS / 8) simulation.lapseEntries(OUTAGE_MS, REWRITE_DELAY_MS);
+      if (step === REQUESTS / 8) simulation.expireEntries(OUTAGE_MS, REWRITE_DELAY_MS);
       simulation.request(step, step % 2 === 0 ? 'plain-safe' : 'stream-once', 'tenant-1', 0);
       await simulation.clock.advance(GAP_MS);
     }
--- a/fuzz/engine-life-commands.ts
+++ b/fuzz/engine-restart-commands.ts
@@ -1,7 +1,10 @@
 /** Fuzz commands on engine restarts, late load commands and malformed store entries. */
 import fc from 'fast-check';
 import { MalformedEntry } from '../src/lab/gateway-simulation/malformed-entry.js';
-import { OrderFault, type EngineRestart } from '../src/lab/gateway-simulation/simulated-fleet.js';
+import {
+  LoadCommandFault,
+  type EngineRestart,
+} from '../src/lab/gateway-simulation/simulated-fleet.js';
 import { type GatewayCommand, command } from './gateway-command.js';
 import { type CommandSource, GATEWAY_COMMANDS, engine } from './gateway-commands.js';
 
@@ -53,7 +56,7 @@
     command(
       `restartDuringLoad(${index}, ${JSON.stringify(options)}, ${afterMs})`,
       async (simulation) => {
-        simulation.nameWeights();
+        simulation.publishWeights();
         await simulation.clock.advance(afterMs);
         for (const each of [index, index + 1]) simulation.fleet.restart(each, options);
       },
@@ -82,10 +85,10 @@
 
 /** Load commands get no response; delayed ones may arrive at a later incarnation of the engine. */
 const injectLoadCommandFaults = fc
-  .array(fc.constantFrom(...Object.values(OrderFault)), { minLength: 1, maxLength: 4 })
+  .array(fc.constantFrom(...Object.values(LoadCommandFault)), { minLength: 1, maxLength: 4 })
   .map((faults) =>
     command(`injectLoadCommandFaults(${faults.join(',')})`, (simulation) => {
-      simulation.fleet.orderFaults.push(...faults);
+      simulation.fleet.loadCommandFaults.push(...faults);
     }),
   );
 
@@ -96,7 +99,7 @@
   command(`addMalformedEntry(${fault})`, async (simulation) => {
     const PROPAGATION_MS = 400;
     const REQUESTS = 12;
-    simulation.fleet.addOddEntry(fault);
+    simulation.fleet.addMalformedEntry(fault);
     await simulation.clock.advance(PROPAGATION_MS);
     for (let step = 0; step < REQUESTS; step += 1) {
       simulation.request(step, 'stream-resumable', 'tenant-2', 0);
--- a/fuzz/engine-life-mutations.ts
+++ b/fuzz/engine-restart-mutations.ts
@@ -28,8 +28,8 @@
   const newest = new Map<string, number>();
   return ({ engines, decoder }) => ({
     engines: changePort(engines, {
-      order: async (endpoint, order) => {
-        const result = await engines.order(endpoint, order);
+      sendLoadCommand: async (endpoint, order) => {
+        const result = await engines.sendLoadCommand(endpoint, order);
         if (result.kind === 'accepted') newest.set(endpoint.name, order.version);
         return result;
       },
@@ -49,8 +49,8 @@
   const highest = new Map<string, number>();
   return {
     engines: changePort(engines, {
-      weightState: async (endpoint, model) => {
-        const state = await engines.weightState(endpoint, model);
+      readWeightState: async (endpoint, model) => {
+        const state = await engines.readWeightState(endpoint, model);
         if (!state) return undefined;
         const orderSequence = Math.max(state.orderSequence, highest.get(endpoint.name) ?? 0);
         highest.set(endpoint.name, orderSequence);
@@ -63,21 +63,24 @@
 
 /** Removes the start time of engines, so that all incarnations look like one. */
 function ignoreStarts({ engines, decoder }: RouterView): RouterView {
-  const bornMs = undefined;
+  const startedAtMs = undefined;
   return {
     engines: changePort(engines, {
-      order: async (endpoint, order) => {
-        const result = await engines.order(endpoint, order);
-        return 'bornMs' in result ? { ...result, bornMs } : result;
+      sendLoadCommand: async (endpoint, order) => {
+        const result = await engines.sendLoadCommand(endpoint, order);
+        return 'startedAtMs' in result ? { ...result, startedAtMs } : result;
       },
-      weightState: async (endpoint, model) => {
-        const state = await engines.weightState(endpoint, model);
-        return state && { ...state, bornMs };
+      readWeightState: async (endpoint, model) => {
+        const state = await engines.readWeightState(endpoint, model);
+        return state && { ...state, startedAtMs };
       },
-      cacheEvents: async (...args) => ({ ...(await engines.cacheEvents(...args)), bornMs }),
-      cacheContents: async (address) => ({ ...(await engines.cacheContents(address)), bornMs }),
+      cacheEvents: async (...args) => ({ ...(await engines.cacheEvents(...args)), startedAtMs }),
+      cacheContents: async (address) => ({
+        ...(await engines.cacheContents(address)),
+        startedAtMs,
+      }),
     }),
-    decoder: changeRecords(decoder, (record) => ({ ...record, id: record.name, bornMs })),
+    decoder: changeRecords(decoder, (record) => ({ ...record, id: record.name, startedAtMs })),
   };
 }
 
--- a/fuzz/gateway-commands.ts
+++ b/fuzz/gateway-commands.ts
@@ -103,7 +103,7 @@
   );
 
 const publishWeights = fc.constant(
-  command('publishWeights()', (simulation) => simulation.nameWeights()),
+  command('publishWeights()', (simulation) => simulation.publishWeights()),
 );
 
 const killRouter = fc
--- a/fuzz/gateway-main.ts
+++ b/fuzz/gateway-main.ts
@@ -2,7 +2,7 @@
  * `npm run fuzz:gateway -- SEED RUNS [lives|limits|notices|engine-limits|restorations]`: runs the
  * gateway's fuzz test with any seed and number of runs.
  */
-import { engineRestartCommands } from './engine-life-commands.js';
+import { engineRestartCommands } from './engine-restart-commands.js';
 import { engineLimitCommands } from './engine-limit-commands.js';
 import { engineNoticeCommands } from './engine-notice-commands.js';
 import { type CommandSource, gatewayCommands } from './gateway-commands.js';
--- a/fuzz/gateway-mutations.ts
+++ b/fuzz/gateway-mutations.ts
@@ -57,7 +57,7 @@
     name: 'what a router relays is taken however old it is',
     rule: 'engine-drained',
     mutation: {
-      settings: { relay: { ...simulationSettings('any').relay, freshMs: Infinity } },
+      settings: { relay: { ...simulationSettings('any').relay, maximumProofAgeMs: Infinity } },
     },
   },
   {
--- a/fuzz/gateway-suite.ts
+++ b/fuzz/gateway-suite.ts
@@ -3,12 +3,12 @@
  * runs on a single thread.
  */
 import test from 'ava';
-import { engineRestartCommands } from './engine-life-commands.js';
-import { ENGINE_RESTART_MUTATIONS, CACHED_PREFIXES_MUTATIONS } from './engine-life-mutations.js';
+import { engineRestartCommands } from './engine-restart-commands.js';
+import { ENGINE_RESTART_MUTATIONS, CACHED_PREFIXES_MUTATIONS } from './engine-restart-mutations.js';
 import { type CommandSource, gatewayCommands } from './gateway-commands.js';
 import { GATEWAY_MUTATIONS, type GatewayMutation } from './gateway-mutations.js';
 import { fuzzGateway } from './gateway-run.js';
-import { fuzzCachedPrefixes } from './kept-prefixes-fuzz.js';
+import { fuzzCachedPrefixes } from './cached-prefixes-fuzz.js';
 
 const RUNS_PER_SEED = 200;
 const MUTATION_RUNS = 900;
--- a/fuzz/store-restoration-commands.ts
+++ b/fuzz/store-restoration-commands.ts
@@ -27,7 +27,7 @@
         const LOST_MS = 1_000;
         simulation.fleet.drain(leaving);
         simulation.toggleKey('tenant-1', 1);
-        simulation.nameWeights();
+        simulation.publishWeights();
         await simulation.clock.advance(waitMs);
         simulation.restoreStore({ lostMs: LOST_MS, awayMs: outage, writtenAgainMs: rewriteDelay });
       },
--- a/soak/deployment.ts
+++ b/soak/deployment.ts
@@ -12,7 +12,7 @@
   ReportedRun,
   StoreCommand,
 } from './messages.js';
-import { MALFORMED_NAME_PREFIX } from './odd-entries.js';
+import { MALFORMED_NAME_PREFIX } from './malformed-entries.js';
 import { BOUNDS, RouterProcess } from './router-process.js';
 import { TcpProxy } from './tcp-proxy.js';
 import { HOST, MODEL, Service, WireKind, callJson } from './wire.js';
--- a/soak/earlier-build.ts
+++ b/soak/earlier-build.ts
@@ -30,7 +30,7 @@
 }
 
 /** Builds a commit. Throws if the commit is missing or its dependencies differ. */
-export function buildEarlier(commit: string): EarlierBuild {
+export function buildCommit(commit: string): EarlierBuild {
   const folder = mkdtempSync(join(tmpdir(), `peatspan-${commit.slice(0, 7)}-`));
   const git = (...args: string[]): Buffer =>
     execFileSync('git', args, { cwd: REPOSITORY, maxBuffer: 512 * 1_024 * 1_024 });
@@ -48,5 +48,5 @@
 const isMain =
   process.argv[1] !== undefined && resolve(process.argv[1]) === fileURLToPath(import.meta.url);
 if (isMain) {
-  process.stdout.write(`${buildEarlier(process.argv[2] ?? productionCommit()).program}\n`);
+  process.stdout.write(`${buildCommit(process.argv[2] ?? productionCommit()).program}\n`);
 }
--- a/soak/engine-life-steps.ts
+++ b/soak/engine-restart-steps.ts
@@ -1,7 +1,7 @@
 /** Steps of a soak that restart engines under their names or write malformed entries. */
 import { type RandomSource, randomElement, randomInteger } from '../src/runtime/random.js';
 import type { Engine, RestartPlan } from './engine-fleet.js';
-import { drawMalformedEntry } from './odd-entries.js';
+import { drawMalformedEntry } from './malformed-entries.js';
 import type { StepFactory } from './schedule.js';
 import { Service } from './wire.js';
 
--- a/soak/oracle.ts
+++ b/soak/oracle.ts
@@ -4,7 +4,7 @@
 import type { ReportedRun } from './messages.js';
 import { judgeLimits } from './limit-oracle.js';
 import { judgeNotices } from './notice-oracle.js';
-import { MALFORMED_NAME_PREFIX } from './odd-entries.js';
+import { MALFORMED_NAME_PREFIX } from './malformed-entries.js';
 import { BOUNDS, DisturbanceKind, type RouterProcess, SLACK_MS } from './router-process.js';
 import { STREAM_EVENTS } from './stream-events.js';
 
--- a/soak/schedule.ts
+++ b/soak/schedule.ts
@@ -5,7 +5,7 @@
 import type { Deployment } from './deployment.js';
 import { CRASHING_BODY_PREFIX, EngineBehavior } from './messages.js';
 import { ENGINE_LIMIT_STEPS } from './engine-limit-steps.js';
-import { ENGINE_RESTART_STEPS } from './engine-life-steps.js';
+import { ENGINE_RESTART_STEPS } from './engine-restart-steps.js';
 import { ENGINE_NOTICE_STEPS } from './engine-notice-steps.js';
 import { DisturbanceKind } from './router-process.js';
 import { STORE_RESTORATION_STEPS } from './store-restoration-steps.js';
--- a/src/cli/lab-commands.ts
+++ b/src/cli/lab-commands.ts
@@ -8,7 +8,7 @@
   startBackend,
   startEngine,
   startPlatform,
-} from '../programs/stand-in-programs.js';
+} from '../programs/simulated-programs.js';
 import { loadSettings } from '../settings/load-settings.js';
 import {
   backendSettingsSchema,
--- a/src/cli/lab-experiment-command.ts
+++ b/src/cli/lab-experiment-command.ts
@@ -12,7 +12,7 @@
 } from '../lab/experiment/experiment-run.js';
 import { profileOf } from '../programs/sample-profile.js';
 import { readDeployment } from '../programs/lab-up.js';
-import { engineSettingsOf } from '../programs/stand-in-programs.js';
+import { engineSettingsOf } from '../programs/simulated-programs.js';
 import { checkSettings, readYaml } from '../settings/load-settings.js';
 
 const experimentSchema = z.strictObject({
--- a/src/cli/logs-commands.ts
+++ b/src/cli/logs-commands.ts
@@ -2,7 +2,7 @@
 import type { Argv } from 'yargs';
 import { readLogs } from '../operator/log-reader.js';
 import { LogSummary } from '../operator/log-summary.js';
-import { RequestTimeline } from '../operator/request-story.js';
+import { RequestTimeline } from '../operator/request-timeline.js';
 
 const FILES = {
   type: 'string',
--- a/src/cli/template-commands.ts
+++ b/src/cli/template-commands.ts
@@ -157,9 +157,9 @@
       break;
     case 'conflict':
       process.stderr.write(
-        `conflict: version ${outcome.present.version} has been written in the meantime\n` +
+        `conflict: version ${outcome.current.version} has been written in the meantime\n` +
           `their changes:\n` +
-          `${formatDifferences(differencesBetween(base.set, outcome.present.set))}\n` +
+          `${formatDifferences(differencesBetween(base.set, outcome.current.set))}\n` +
           `your changes:\n${formatDifferences(differencesBetween(base.set, set))}\n`,
       );
       process.exitCode = ExitCode.Conflict;
--- a/src/coordination/agent/agent-node.ts
+++ b/src/coordination/agent/agent-node.ts
@@ -4,12 +4,12 @@
 import type { Hasher } from '../../runtime/hasher.js';
 import type { Logger } from '../../runtime/logger.js';
 import { type RandomSource, randomIdentifier } from '../../runtime/random.js';
-import { CLOCK, FRAME_TRANSPORT, HASHER, LOGGER, RANDOM } from '../../runtime/tokens.js';
+import { CLOCK, FRAME_TRANSPORT, HASHER, LOGGER, RANDOM } from '../../runtime/injection-tokens.js';
 import type { FrameTransport } from '../../transport/frame-transport.js';
 import type { PeerBody } from '../../protocol/peer/peer-channel.js';
 import { chainSeed, prefixRoot } from '../../state/prefix-chain.js';
 import { Configuration, MACHINES_DOCUMENT, TEMPLATES_DOCUMENT } from '../shared/configuration.js';
-import { DocumentReplicator } from '../shared/document-spreader.js';
+import { DocumentReplicator } from '../shared/document-replicator.js';
 import { AgentCall } from './agent-call.js';
 import type { CallerHandle, CallerRequest, CallerSink } from './caller.js';
 import type { RouterLink } from './router-link.js';
@@ -88,7 +88,7 @@
   }
 
   /** Creates a random request identifier. */
-  mintRequestId(): string {
+  createRequestId(): string {
     return randomIdentifier(this.random);
   }
 
--- a/src/coordination/gateway/bounded-name-set.ts
+++ b/src/coordination/gateway/bounded-name-set.ts
@@ -8,7 +8,7 @@
   private readonly names = new Set<string>();
 
   /** Adds a name; returns true if it was new and the set was not full. */
-  note(name: string): boolean {
+  addName(name: string): boolean {
     if (this.names.has(name) || this.names.size >= MAXIMUM_NAMES) return false;
     this.names.add(name);
     return true;
--- a/src/coordination/gateway/cache-feeds.ts
+++ b/src/coordination/gateway/cache-feeds.ts
@@ -9,7 +9,7 @@
   CacheContents,
   CacheEventPage,
   InferencePort,
-  StatedLife,
+  IncarnationStart,
 } from '../../protocol/inference/port.js';
 import type { CachedPrefixes } from '../../state/routing/cached-prefixes.js';
 
@@ -23,13 +23,13 @@
 
 /** Dependencies of {@link CacheFeeds}. */
 export interface FeedParts {
-  readonly kept: CachedPrefixes;
+  readonly cachedPrefixes: CachedPrefixes;
   readonly engines: InferencePort;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   /** Whether a response that states this start time is of the holder's listed incarnation. */
-  isOfHolder(holder: string, bornMs: number | undefined): boolean;
+  isOfHolder(holder: string, startedAtMs: number | undefined): boolean;
 }
 
 /** Long-poll time of an event call; shorter calls count as probes. */
@@ -61,7 +61,7 @@
       feed.stop();
       this.feeds.delete(holder);
     }
-    this.parts.kept.setReported(new Set(wanted.keys()));
+    this.parts.cachedPrefixes.setReportingHolders(new Set(wanted.keys()));
     for (const [holder, source] of wanted) {
       if (this.feeds.has(holder)) continue;
       const feed = new CacheFeed(source, mayHaveContents, this.parts);
@@ -131,32 +131,34 @@
   }
 
   /** Another incarnation is followed by a feed of its own once it is listed. */
-  private isOfHolder({ bornMs }: StatedLife): boolean {
-    return this.parts.isOfHolder(this.source.holder, bornMs);
+  private isOfHolder({ startedAtMs }: IncarnationStart): boolean {
+    return this.parts.isOfHolder(this.source.holder, startedAtMs);
   }
 
   private applyContents(contents: CacheContents): void {
-    const { kept, clock } = this.parts;
+    const { cachedPrefixes, clock } = this.parts;
     const { holder } = this.source;
     this.needsContents = false;
     this.contentsReadMs = clock.now();
     this.epoch = contents.epoch;
     this.since = contents.next;
-    kept.forget(holder);
-    for (const { salt, partId, tokens } of contents.held) kept.note(holder, salt, partId, tokens);
+    cachedPrefixes.forget(holder);
+    for (const { salt, partId, tokens } of contents.held)
+      cachedPrefixes.record(holder, salt, partId, tokens);
   }
 
   private applyPage(page: CacheEventPage): void {
-    const { kept, logger, clock } = this.parts;
+    const { cachedPrefixes, logger, clock } = this.parts;
     const { holder } = this.source;
     const hasRestarted = this.epoch !== undefined && this.epoch !== page.epoch;
-    if (hasRestarted) kept.forget(holder);
+    if (hasRestarted) cachedPrefixes.forget(holder);
     if (hasRestarted || (page.hasGap && this.since > 0)) {
       logger.info('cache_feed_gap', { holder, restarted: hasRestarted, since: this.since });
       this.needsContents = clock.now() - this.contentsReadMs >= MINIMUM_CONTENTS_PERIOD_MS;
     }
     this.epoch = page.epoch;
     this.since = page.next;
-    for (const { salt, partId, tokens } of page.events) kept.note(holder, salt, partId, tokens);
+    for (const { salt, partId, tokens } of page.events)
+      cachedPrefixes.record(holder, salt, partId, tokens);
   }
 }
--- a/src/coordination/gateway/call-crashes.ts
+++ b/src/coordination/gateway/call-crashes.ts
@@ -28,7 +28,7 @@
   /** Whether the request is quarantined; needs no fingerprint while no request is suspected. */
   get isQuarantined(): boolean {
     const { guard } = this.protection;
-    return guard.isWatching && guard.isQuarantined(this.fingerprint);
+    return guard.hasSuspects && guard.isQuarantined(this.fingerprint);
   }
 
   /** Whether this request has the given fingerprint. */
@@ -41,7 +41,7 @@
    * the router; the caller decides.
    */
   isSuspectedCause(failure: ExchangeFailure): boolean {
-    return isDisconnect(failure) && this.protection.guard.isDoubtful(this.fingerprint);
+    return isDisconnect(failure) && this.protection.guard.leavesRetryToCaller(this.fingerprint);
   }
 
   /**
@@ -52,7 +52,7 @@
   noteFailure(engineId: string, failure: ExchangeFailure, ranMs: number): void {
     if (!isDisconnect(failure)) return;
     const grant = this.grant();
-    this.protection.noteBreak(engineId, this.fingerprint, ranMs, {
+    this.protection.recordConnectionLoss(engineId, this.fingerprint, ranMs, {
       tenant: grant?.tenant?.name ?? '',
       route: grant?.route.name ?? '',
       path: this.request.path,
@@ -62,7 +62,7 @@
   /** Records a completed response, which clears the request of suspicion. */
   noteSuccess(): void {
     const { guard } = this.protection;
-    if (guard.isWatching) guard.noteGoodEnd(this.fingerprint);
+    if (guard.hasSuspects) guard.recordSuccess(this.fingerprint);
   }
 
   private get fingerprint(): string {
--- a/src/coordination/gateway/call-answer.ts
+++ b/src/coordination/gateway/call-response.ts
@@ -3,8 +3,8 @@
  * resumable ones in whole events, so that another engine can continue after any of them. Other
  * responses are buffered, so that an interrupted request can be retried.
  */
-import type { AnswerHead } from '../../protocol/inference/port.js';
-import { ResponseBuffer } from './answer-buffer.js';
+import type { ResponseHead } from '../../protocol/inference/port.js';
+import { ResponseBuffer } from './response-buffer.js';
 import { EventBoundary } from './event-boundary.js';
 import type { Reply } from './reply.js';
 
@@ -50,7 +50,7 @@
   }
 
   /** Handles the head of a new response; not called for the head of one that continues it. */
-  handleHead(head: AnswerHead, mode: ResponseMode): void {
+  handleHead(head: ResponseHead, mode: ResponseMode): void {
     this.mode = mode;
     if (mode.isStream) this.begin(head);
     else this.buffer = new ResponseBuffer(head);
@@ -91,7 +91,7 @@
     return buffer.chunks.reduce((_, each) => this.reply.write(each), true);
   }
 
-  private begin(head: AnswerHead): void {
+  private begin(head: ResponseHead): void {
     this.isHeadSent = true;
     this.sentStatus = head.status;
     const length = this.mode.isResumable ? undefined : head.contentLength;
--- a/src/coordination/gateway/collector-choice.ts
+++ b/src/coordination/gateway/collector-choice.ts
@@ -1,7 +1,7 @@
 /** Chooses the router that collects the loads of a large group, from one router's point of view. */
 import type { MemberUpdate } from '../../state/membership.js';
 import { PeerCooldowns } from '../../state/routing/peer-cooldowns.js';
-import { byCapability } from '../../state/routing/store-readers.js';
+import { byCapacity } from '../../state/routing/store-readers.js';
 
 /** The parts of the group that the choice uses. */
 export interface CollectorGroup {
@@ -62,7 +62,7 @@
   private ordered(): readonly MemberUpdate[] {
     if (this.orderVersion !== this.group.version) {
       this.orderVersion = this.group.version;
-      this.order = [...this.group.working].sort(byCapability);
+      this.order = [...this.group.working].sort(byCapacity);
     }
     return this.order;
   }
--- a/src/coordination/gateway/coordinator-setup.ts
+++ b/src/coordination/gateway/coordinator-setup.ts
@@ -2,7 +2,7 @@
 import { randomIdentifier, type RandomSource } from '../../runtime/random.js';
 import type { ObjectStorePort } from '../../protocol/object-store/port.js';
 import type { StoreEras } from '../../state/routing/store-eras.js';
-import { byCapability } from '../../state/routing/store-readers.js';
+import { byCapacity } from '../../state/routing/store-readers.js';
 import { WeightLease } from '../../state/routing/weight-lease.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import type { GroupMembership } from './group-membership.js';
@@ -48,11 +48,11 @@
       holder: settings.nodeId,
       rollout: settings.rollout,
       isKnownService: (service) => listed.isKnownService(service),
-      respondingRouters: () => group.responding.sort(byCapability).map(({ nodeId }) => nodeId),
+      respondingRouters: () => group.responding.sort(byCapacity).map(({ nodeId }) => nodeId),
       isAvailable: (router) => group.isAvailable(router),
       shareOfTraffic: () => sources.shareOfTraffic(),
       announce: () => group.reportNow(),
-      announcementMs: () => group.announcementMs,
+      announcementMs: () => group.propagationMs,
     },
   );
 }
--- a/src/coordination/gateway/crash-guard.ts
+++ b/src/coordination/gateway/crash-guard.ts
@@ -58,13 +58,13 @@
   }
 
   /** Whether any request is suspected or quarantined; otherwise fingerprints aren't needed. */
-  get isWatching(): boolean {
+  get hasSuspects(): boolean {
     return !this.quarantine.isEmpty;
   }
 
   /** Whether there are announcements to send to the other routers. */
-  get hasNews(): boolean {
-    return this.announcements.hasNews;
+  get hasAnnouncements(): boolean {
+    return this.announcements.hasPending;
   }
 
   isQuarantined(fingerprint: string): boolean {
@@ -72,7 +72,7 @@
   }
 
   /** Whether retries of this request should be left to the caller. */
-  isDoubtful(fingerprint: string): boolean {
+  leavesRetryToCaller(fingerprint: string): boolean {
     return this.quarantine.crashedEngines(fingerprint).length >= CRASHES_WITHOUT_RETRY;
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** Records that an engine completed the request; clears it. */
-  noteGoodEnd(fingerprint: string): void {
+  recordSuccess(fingerprint: string): void {
     this.clear(fingerprint, 'own');
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** Returns the announcements for the next report to other routers. */
-  takeNews(): CrashAnnouncements {
+  takeAnnouncements(): CrashAnnouncements {
     return this.announcements.take(this.quarantine.quarantinedSince, this.parts.clock.now());
   }
 
@@ -146,7 +146,7 @@
     const newFingerprints = this.countCrash(announcement, 'router');
     if (newFingerprints.length === 0) return false;
     const atMs = this.parts.clock.now() - announcement.ageMs;
-    if (isRelayed) this.announcements.passOnCrash(announcement.engineId, newFingerprints, atMs);
+    if (isRelayed) this.announcements.relayCrash(announcement.engineId, newFingerprints, atMs);
     return true;
   }
 
@@ -156,7 +156,7 @@
     const change = isCleared
       ? this.quarantine.noteCleared(fingerprint, atMs)
       : this.quarantine.noteQuarantined(fingerprint, atMs);
-    if (isRelayed && isClearance(change)) this.announcements.passOnClearance(fingerprint, atMs);
+    if (isRelayed && isClearance(change)) this.announcements.relayClearance(fingerprint, atMs);
     this.report(change, fingerprint, 'router');
     return isUrgent(change);
   }
--- a/src/coordination/gateway/crash-protection.ts
+++ b/src/coordination/gateway/crash-protection.ts
@@ -86,7 +86,7 @@
    *
    * @param ranMs time since the request was sent
    */
-  noteBreak(
+  recordConnectionLoss(
     engineId: string,
     fingerprint: string,
     ranMs: number,
@@ -97,12 +97,12 @@
       if (oldest !== undefined) this.descriptions.delete(oldest);
     }
     this.descriptions.set(fingerprint, description);
-    this.detector.noteBreak(engineId, fingerprint, ranMs);
+    this.detector.recordConnectionLoss(engineId, fingerprint, ranMs);
   }
 
   /** Handles an engine's restart: its previous incarnation crashed unless it was draining. */
-  noteReborn({ former: previous, bornMs }: EngineRestart): void {
-    this.detector.noteReborn(previous, bornMs);
+  handleRestart({ previous, startedAtMs }: EngineRestart): void {
+    this.detector.handleRestart(previous, startedAtMs);
   }
 
   /** Drops expired records; must be called periodically. */
--- a/src/coordination/gateway/directory.ts
+++ b/src/coordination/gateway/directory.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '../../runtime/logger.js';
 import type { RandomSource } from '../../runtime/random.js';
 import type { MemberUpdate } from '../../state/membership.js';
-import { type CallerLocation, addressesFor } from './directory-answer.js';
+import { type CallerLocation, addressesFor } from './directory-addresses.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
 
 /** The parts of the group that the directory uses. */
@@ -17,7 +17,7 @@
   /** The working members with a recent heartbeat. */
   readonly responding: readonly MemberUpdate[];
   /** Milliseconds since the last heartbeat of a member; 0 for this router. */
-  silenceMs(nodeId: string): number;
+  heartbeatAgeMs(nodeId: string): number;
 }
 
 /** The directory of one router. */
@@ -50,7 +50,7 @@
     this.statistics.directoryAnswers += 1;
     const selectedAddresses = new Set(addresses);
     const returned = candidates.filter(({ peerAddress }) => selectedAddresses.has(peerAddress));
-    const silences = returned.map(({ nodeId }) => this.group.silenceMs(nodeId));
+    const silences = returned.map(({ nodeId }) => this.group.heartbeatAgeMs(nodeId));
     this.logger.info('directory_answered', {
       zone: location.zone,
       named: returned.length,
--- a/src/coordination/gateway/engine-crash-detector.ts
+++ b/src/coordination/gateway/engine-crash-detector.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../../runtime/clock.js';
 import type { Logger } from '../../runtime/logger.js';
 import { type InferencePort, ListenerState } from '../../protocol/inference/port.js';
-import { BreakFinding, EngineCrashes } from '../../state/routing/engine-crashes.js';
+import { BrokenRequestAction, EngineCrashes } from '../../state/routing/engine-crashes.js';
 import { parseIncarnation } from '../../state/routing/engine-incarnation.js';
 import type { EngineRecord, EngineRegistry } from '../../state/routing/engine-registry.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
@@ -54,16 +54,17 @@
    *
    * @param ranMs time since the request was sent
    */
-  noteBreak(engineId: string, fingerprint: string, ranMs: number): void {
+  recordConnectionLoss(engineId: string, fingerprint: string, ranMs: number): void {
     if (ranMs < MINIMUM_RUN_MS) return;
     const engine = this.parts.registry.find(engineId);
     const mayBeCrash = engine ? !engine.record.isDraining : this.crashes.isCrashed(engineId);
     if (!mayBeCrash) return;
     const brokenMs = this.parts.clock.wallNow();
     const broken = { fingerprint, sentMs: brokenMs - ranMs, brokenMs };
-    const finding = this.crashes.noteBreak(engineId, broken);
-    if (finding === BreakFinding.Crashed) this.onCrash({ engineId, fingerprints: [fingerprint] });
-    if (finding !== BreakFinding.NeedsCheck || !engine) return;
+    const finding = this.crashes.recordBrokenRequest(engineId, broken);
+    if (finding === BrokenRequestAction.Crashed)
+      this.onCrash({ engineId, fingerprints: [fingerprint] });
+    if (finding !== BrokenRequestAction.NeedsCheck || !engine) return;
     const { address } = engine.record;
     this.parts.clock.setTimer(CHECK_DELAY_MS, () => void this.check(engineId, address));
   }
@@ -72,11 +73,11 @@
    * Handles the restart of an engine. Its previous incarnation crashed while running its requests,
    * unless it was draining or the crash was already detected.
    *
-   * @param bornMs start time of the later incarnation, in Unix milliseconds
+   * @param startedAtMs start time of the later incarnation, in Unix milliseconds
    */
-  noteReborn({ id, address, isDraining }: EngineRecord, bornMs: number): void {
+  handleRestart({ id, address, isDraining }: EngineRecord, startedAtMs: number): void {
     if (isDraining) return;
-    const fingerprints = this.crashes.noteReborn(id, bornMs);
+    const fingerprints = this.crashes.recordRestart(id, startedAtMs);
     if (fingerprints) this.noteCrash({ engineId: id, fingerprints }, address);
   }
 
--- a/src/coordination/gateway/engine-incarnation-tracker.ts
+++ b/src/coordination/gateway/engine-incarnation-tracker.ts
@@ -21,9 +21,9 @@
 
 /** A restart of an engine: its previous incarnation, and the start time of the new one. */
 export interface EngineRestart {
-  readonly former: EngineRecord;
+  readonly previous: EngineRecord;
   /** Start time of the new incarnation, in Unix milliseconds by the engine's clock. */
-  readonly bornMs: number;
+  readonly startedAtMs: number;
 }
 
 /** Receives changes of incarnations. */
@@ -52,7 +52,8 @@
   /** Applies an engine's entry; entries must be passed in the store's order. */
   applyEntry(record: EngineRecord): PutOutcome {
     const outcome = this.registry.put(record);
-    if (outcome.kind === 'reborn') this.handleRestart(outcome.former, record.bornMs, 'entry');
+    if (outcome.kind === 'reborn')
+      this.handleRestart(outcome.previous, record.startedAtMs, 'entry');
     return outcome;
   }
 
@@ -62,49 +63,50 @@
    */
   acceptResponse(
     { id }: EngineRecord,
-    bornMs: number | undefined,
+    startedAtMs: number | undefined,
     source: IncarnationSource,
   ): boolean {
-    return this.acceptResponseOf(id, bornMs, source);
+    return this.acceptResponseOf(id, startedAtMs, source);
   }
 
   /** As {@link acceptResponse}, for an incarnation that is known by its identifier only. */
   acceptResponseOf(
     incarnation: string,
-    bornMs: number | undefined,
+    startedAtMs: number | undefined,
     source: IncarnationSource,
   ): boolean {
-    if (!isDifferentIncarnation(bornMs, parseIncarnation(incarnation).bornMs)) return true;
-    if (bornMs === undefined) return false;
-    const previous = this.registry.noteAnswer(incarnation, bornMs);
-    if (previous) this.handleRestart(previous, bornMs, source);
+    if (!isDifferentIncarnation(startedAtMs, parseIncarnation(incarnation).startedAtMs))
+      return true;
+    if (startedAtMs === undefined) return false;
+    const previous = this.registry.recordResponse(incarnation, startedAtMs);
+    if (previous) this.handleRestart(previous, startedAtMs, source);
     return false;
   }
 
   /** Handles an incarnation mentioned by another router, which may be later than the listed one. */
   observeIncarnation(incarnation: string): void {
-    const { name, bornMs } = parseIncarnation(incarnation);
-    if (bornMs === undefined) return;
-    const previous = this.registry.noteHearsay(name, bornMs);
-    if (previous) this.handleRestart(previous, bornMs, 'router');
+    const { name, startedAtMs } = parseIncarnation(incarnation);
+    if (startedAtMs === undefined) return;
+    const previous = this.registry.recordReportedIncarnation(name, startedAtMs);
+    if (previous) this.handleRestart(previous, startedAtMs, 'router');
   }
 
   private handleRestart(
     previous: EngineRecord,
-    bornMs: number | undefined,
+    startedAtMs: number | undefined,
     source: IncarnationSource,
   ): void {
     this.statistics.enginesReborn += 1;
     this.logger.warn('engine_reborn', {
       engine: previous.id,
       address: previous.address,
-      old_born_ms: previous.bornMs,
-      new_born_ms: bornMs,
+      old_born_ms: previous.startedAtMs,
+      new_born_ms: startedAtMs,
       found_by: source,
     });
     this.listener?.onChanged();
     // An earlier start time doesn't prove that the known incarnation has ended.
-    if (bornMs === undefined || !isLaterIncarnation(bornMs, previous.bornMs)) return;
-    this.listener?.onRestarted({ former: previous, bornMs });
+    if (startedAtMs === undefined || !isLaterIncarnation(startedAtMs, previous.startedAtMs)) return;
+    this.listener?.onRestarted({ previous, startedAtMs });
   }
 }
--- a/src/coordination/gateway/engine-limit-discovery.ts
+++ b/src/coordination/gateway/engine-limit-discovery.ts
@@ -28,21 +28,21 @@
   constructor(private readonly parts: EngineLimitDiscoveryParts) {}
 
   /** Announcements for the next report to other routers. */
-  get notices(): readonly EngineLimitAnnouncement[] {
-    return this.parts.limits.notices(this.parts.clock.now());
+  get announcements(): readonly EngineLimitAnnouncement[] {
+    return this.parts.limits.announcements(this.parts.clock.now());
   }
 
   /** Records a limit that a response names. */
-  noteNamed({ engine, requestId }: AnsweredRequest, perSecond: number): void {
+  recordLimit({ engine, requestId }: AnsweredRequest, perSecond: number): void {
     const { limits, clock } = this.parts;
-    if (!limits.noteNamed(engine.name, perSecond, clock.now())) return;
+    if (!limits.setLimit(engine.name, perSecond, clock.now())) return;
     this.logChange(perSecond, { engine: engine.id, request: requestId });
   }
 
   /** Records a response without a limit; no effect if the same response has just named one. */
-  noteUnnamed({ engine, requestId, sentMs }: AnsweredRequest): void {
+  recordNoLimit({ engine, requestId, sentMs }: AnsweredRequest): void {
     const { limits, clock } = this.parts;
-    if (!limits.noteUnnamed(engine.name, sentMs, clock.now())) return;
+    if (!limits.recordNoLimit(engine.name, sentMs, clock.now())) return;
     this.logChange(undefined, { engine: engine.id, request: requestId });
   }
 
--- a/src/coordination/gateway/engine-list.ts
+++ b/src/coordination/gateway/engine-list.ts
@@ -84,10 +84,10 @@
   }
 
   /** Applies the complete list. */
-  takeAll(objects: readonly StoredObject[]): void {
+  applyAll(objects: readonly StoredObject[]): void {
     const listed = new Set(objects.map(({ name }) => name));
     for (const object of objects) this.applyEntry(object);
-    for (const name of this.parts.registry.names) if (!listed.has(name)) this.takeGone(name);
+    for (const name of this.parts.registry.names) if (!listed.has(name)) this.applyRemoval(name);
     for (const name of this.positions.keys()) if (!listed.has(name)) this.forgetEntry(name);
     this.hasList = true;
     this.restored.noteListed();
@@ -95,7 +95,7 @@
   }
 
   /** Applies a new or changed entry. */
-  take(object: StoredObject): void {
+  apply(object: StoredObject): void {
     const before = this.parts.registry.findByName(object.name)?.record;
     const record = this.applyEntry(object);
     if (!record) return;
@@ -117,7 +117,7 @@
    *
    * @param position position of the removed entry; an entry applied at a later position stays
    */
-  takeGone(name: string, position?: StorePosition): void {
+  applyRemoval(name: string, position?: StorePosition): void {
     const { clock } = this.parts;
     if (position?.isBefore(this.newestOf(name))) return;
     this.restored.drop(name);
@@ -172,8 +172,8 @@
   /**
    * Returns the defect of an entry: once an engine has stated its start time, it must always do so.
    */
-  private defectOf({ name, bornMs }: EngineRecord): string | undefined {
-    if (bornMs !== undefined) this.namesWithStart.add(name);
+  private defectOf({ name, startedAtMs }: EngineRecord): string | undefined {
+    if (startedAtMs !== undefined) this.namesWithStart.add(name);
     else if (this.namesWithStart.has(name)) return 'start of the engine: missing';
     return undefined;
   }
@@ -197,7 +197,7 @@
 
   /** Removes the engine until its next valid entry; its running requests continue. */
   private handleMalformed({ name, position }: StoredObject, reason: string): void {
-    this.parts.malformed.note(name, position, reason);
+    this.parts.malformed.report(name, position, reason);
     this.missing.delete(name);
     const present = this.currentIncarnation(name);
     if (present !== undefined) this.drop(present);
@@ -206,7 +206,7 @@
   /** Reports an unconfigured service; its engines get no requests and no load commands. */
   private noteUnknownService({ name, position }: StoredObject, { service }: EngineRecord): void {
     if (this.parts.isKnownService(service)) return;
-    this.parts.malformed.note(name, position, `service ${service}: not in the configuration`);
+    this.parts.malformed.report(name, position, `service ${service}: not in the configuration`);
   }
 
   private recordRemoval(id: string): void {
--- a/src/coordination/gateway/engine-notices.ts
+++ b/src/coordination/gateway/engine-notices.ts
@@ -9,7 +9,7 @@
 export function applyEngineNotice(
   answeredRequest: AnsweredRequest,
   { isLeaving, backoffMs, limitPerSecond, unreadable, unknownHeaders }: EngineNotice,
-  { registry, health, limitNews, clock, statistics, logger }: GatewayContext,
+  { registry, health, limitDiscovery, clock, statistics, logger }: GatewayContext,
 ): void {
   const { id, name } = answeredRequest.engine;
   const source = { engine: id, request: answeredRequest.requestId };
@@ -18,13 +18,13 @@
     logger.info('engine_leaving', source);
   }
   if (backoffMs !== undefined) {
-    health.backoffs.note(name, clock.now(), backoffMs);
+    health.backoffs.record(name, clock.now(), backoffMs);
     statistics.backoffNotices += 1;
     logger.info('engine_backoff', { ...source, for_ms: backoffMs });
   }
-  if (limitPerSecond !== undefined) limitNews.noteNamed(answeredRequest, limitPerSecond);
+  if (limitPerSecond !== undefined) limitDiscovery.recordLimit(answeredRequest, limitPerSecond);
   for (const header of unknownHeaders) {
-    if (statistics.unknownEngineHeaders.note(header)) {
+    if (statistics.unknownEngineHeaders.addName(header)) {
       logger.warn('engine_header_unknown', { ...source, name: header });
     }
   }
--- a/src/coordination/gateway/followed-feeds.ts
+++ b/src/coordination/gateway/followed-feeds.ts
@@ -1,7 +1,7 @@
 /** Selects the cache event feeds that this router follows: its share, by its rank in the group. */
 import type { ConfigurationState } from '../../state/routing/configuration-state.js';
 import type { EngineRegistry } from '../../state/routing/engine-registry.js';
-import { type HeldFeed, ownShareOfFeeds } from '../../state/routing/feed-share.js';
+import { type CacheFeed, assignedFeeds } from '../../state/routing/feed-share.js';
 import type { CacheFeeds } from './cache-feeds.js';
 import type { GroupMembership } from './group-membership.js';
 
@@ -18,7 +18,7 @@
   update(): void {
     const services = this.configuration.current?.configuration.services;
     if (!services) return;
-    const sources: HeldFeed[] = [];
+    const sources: CacheFeed[] = [];
     for (const { name, engine, cacheStore } of services) {
       if (cacheStore) {
         const { address, maximumEventCalls } = cacheStore;
@@ -30,7 +30,7 @@
         sources.push({ holder, address, maximumCalls: engine.maximumEventCalls });
       }
     }
-    this.feeds.follow(ownShareOfFeeds(sources, this.rank, this.group.working.length));
+    this.feeds.follow(assignedFeeds(sources, this.rank, this.group.working.length));
   }
 
   /** Rank among the working routers, ordered by identifier. */
--- a/src/coordination/gateway/gateway-context.ts
+++ b/src/coordination/gateway/gateway-context.ts
@@ -56,8 +56,8 @@
   readonly registry: EngineRegistry;
   readonly loads: LoadTable;
   readonly health: EngineHealth;
-  readonly limitNews: EngineLimitDiscovery;
-  readonly kept: CachedPrefixes;
+  readonly limitDiscovery: EngineLimitDiscovery;
+  readonly cachedPrefixes: CachedPrefixes;
   readonly versions: WeightVersions;
   /** Rate of requests that this router sends to engines. */
   readonly requestRate: SendRate;
@@ -66,7 +66,7 @@
   /** This router's share of the group's requests, greater than 0 and at most 1. */
   shareOfTraffic(): number;
   /** Returns the current inputs that decide this router's slots at rate-limited engines. */
-  turnView(this: void): SlotView;
+  slotView(this: void): SlotView;
   readonly split: TrafficSplit;
   readonly retryBudgets: ServiceRetryBudgets;
   readonly group: GroupView;
--- a/src/coordination/gateway/gateway-node.ts
+++ b/src/coordination/gateway/gateway-node.ts
@@ -22,7 +22,7 @@
 import { TrafficSplit } from '../../state/routing/traffic-split.js';
 import { WeightVersions } from '../../state/routing/weight-versions.js';
 import { Directory } from './directory.js';
-import type { CallerLocation } from './directory-answer.js';
+import type { CallerLocation } from './directory-addresses.js';
 import { createCoordinator } from './coordinator-setup.js';
 import { CrashProtection } from './crash-protection.js';
 import { followKinds } from './followed-kinds.js';
@@ -105,7 +105,7 @@
       ...dependencies,
       configuration: this.configuration,
       health: this.health,
-      kept: this.cachedPrefixes,
+      cachedPrefixes: this.cachedPrefixes,
       group,
       statistics: this.statistics,
       drainMs: settings.drainMs,
@@ -114,12 +114,12 @@
     this.registry = this.listed.registry;
     this.listed.connect({
       onChanged: () => this.joinWhenReady(),
-      onReborn: (restart) => {
-        this.coordinator.forgetLife(restart.former.id);
-        this.crashes.noteReborn(restart);
+      onRestarted: (restart) => {
+        this.coordinator.forgetIncarnation(restart.previous.id);
+        this.crashes.handleRestart(restart);
       },
-      breakFormerLife: (restart) => {
-        for (const call of this.calls) call.breakFormerLife(restart);
+      failPreviousIncarnation: (restart) => {
+        for (const call of this.calls) call.failSendToPreviousIncarnation(restart);
       },
     });
     this.versions = new WeightVersions(
@@ -171,13 +171,13 @@
       registry: this.registry,
       loads: this.loads,
       health: this.health,
-      limitNews: limitDiscovery,
-      kept: this.cachedPrefixes,
+      limitDiscovery,
+      cachedPrefixes: this.cachedPrefixes,
       versions: this.versions,
       requestRate: this.requestRate,
       ownTokenRate: this.ownTokenRate,
       shareOfTraffic: () => this.trafficShare.now,
-      turnView: () => ({ wallMs: clock.wallNow(), interval: this.trafficShare.interval }),
+      slotView: () => ({ wallMs: clock.wallNow(), interval: this.trafficShare.interval }),
       split: this.split,
       retryBudgets: new ServiceRetryBudgets(settings.retryBudget),
       crashes: this.crashes,
@@ -200,7 +200,7 @@
       versions: this.versions,
       loads: this.loads,
       health: this.health,
-      kept: this.cachedPrefixes,
+      cachedPrefixes: this.cachedPrefixes,
       engines,
       store: relay.store,
       eras,
@@ -263,10 +263,10 @@
           if (applied.length === 0) this.configuration.noteMissing();
         },
         onObject: (object, proven) => void this.applyConfiguration(object, proven),
-        onAnswer: (proven) => this.configuration.prove(proven),
+        onAnswer: (proven) => this.configuration.recordProof(proven),
       },
       engineList: this.listed.list,
-      malformedEntries: this.listed.odd,
+      malformedEntries: this.listed.malformedEntries,
       versionDiscovery: this.versionDiscovery,
     });
     const { clock } = this.dependencies;
@@ -310,7 +310,7 @@
    * configuration is current may have expired, so it is renewed without waiting for the pending
    * watch.
    */
-  noteClockJump({ aheadMs }: ClockJump): void {
+  handleClockJump({ aheadMs }: ClockJump): void {
     const { clock, logger } = this.dependencies;
     this.statistics.clockJumps += 1;
     const now = clock.elapsed();
@@ -333,7 +333,7 @@
 
   /** Ends all running requests and releases all resources. */
   stop(): void {
-    for (const call of this.calls) call.endForStop();
+    for (const call of this.calls) call.endForShutdown();
     this.followers.stop();
     for (const timer of this.timers) timer.cancel();
     this.coordinator.stop();
@@ -350,7 +350,7 @@
     const decoded = decoder.configuration(object);
     const configuration = valueOrLog(decoded, object, logger);
     if (!configuration) return decoded.kind === 'malformed';
-    if (!this.configuration.adopt(configuration, proven)) return true;
+    if (!this.configuration.apply(configuration, proven)) return true;
     this.split.retain(new Set(configuration.routes.map((route) => route.name)));
     logger.info('configuration_in_force', {
       version: configuration.version,
--- a/src/coordination/gateway/group-change-log.ts
+++ b/src/coordination/gateway/group-change-log.ts
@@ -12,14 +12,14 @@
   constructor(private readonly logger: Logger) {}
 
   /** @param silenceMs milliseconds since the last heartbeat of a member */
-  logChanges(members: readonly MemberUpdate[], silenceMs: (nodeId: string) => number): void {
+  logChanges(members: readonly MemberUpdate[], heartbeatAgeMs: (nodeId: string) => number): void {
     const changed = members.filter(
       ({ nodeId, status }) => this.statuses.get(nodeId) !== status && status !== MemberStatus.Alive,
     );
     this.statuses = new Map(members.map(({ nodeId, status }) => [nodeId, status]));
     const named = (status: MemberStatus): string | undefined =>
       joinNames(changed.filter((member) => member.status === status));
-    const silences = changed.map(({ nodeId }) => silenceMs(nodeId)).filter(Number.isFinite);
+    const silences = changed.map(({ nodeId }) => heartbeatAgeMs(nodeId)).filter(Number.isFinite);
     this.logger.info('group_changed', {
       working: members.filter(isWorking).length,
       known: members.length,
--- a/src/coordination/gateway/group-event-target.ts
+++ b/src/coordination/gateway/group-event-target.ts
@@ -35,32 +35,32 @@
     this.limitDiscovery = limitDiscovery;
   }
 
-  get hasCrashNews(): boolean {
-    return this.crashGuard?.hasNews ?? false;
+  get hasCrashAnnouncements(): boolean {
+    return this.crashGuard?.hasAnnouncements ?? false;
   }
 
-  takeCrashNews(): CrashAnnouncements {
-    return this.crashGuard?.takeNews() ?? NO_CRASH_ANNOUNCEMENTS;
+  takeCrashAnnouncements(): CrashAnnouncements {
+    return this.crashGuard?.takeAnnouncements() ?? NO_CRASH_ANNOUNCEMENTS;
   }
 
-  onCrashNews(announcements: CrashAnnouncements, isRelayed: boolean): boolean {
+  onCrashAnnouncements(announcements: CrashAnnouncements, isRelayed: boolean): boolean {
     return this.crashGuard?.receive(announcements, isRelayed) ?? false;
   }
 
   limitAnnouncements(): readonly EngineLimitAnnouncement[] {
-    return this.limitDiscovery?.notices ?? [];
+    return this.limitDiscovery?.announcements ?? [];
   }
 
   onLimitAnnouncement(announcement: EngineLimitAnnouncement): void {
     this.limitDiscovery?.receive(announcement);
   }
 
-  weightsNews(): readonly WeightLoadAnnouncement[] {
-    return this.coordinator?.news ?? [];
+  weightLoadAnnouncements(): readonly WeightLoadAnnouncement[] {
+    return this.coordinator?.loadAnnouncements ?? [];
   }
 
-  onWeightsNews(announcement: WeightLoadAnnouncement): void {
-    this.coordinator?.receiveNews(announcement);
+  onWeightLoadAnnouncement(announcement: WeightLoadAnnouncement): void {
+    this.coordinator?.receiveAnnouncement(announcement);
   }
 
   heldLease(): StorePosition | undefined {
@@ -72,7 +72,7 @@
   }
 
   versionAnnouncements(): readonly WeightVersionAnnouncement[] {
-    return this.versionDiscovery?.notices ?? [];
+    return this.versionDiscovery?.versionAnnouncements ?? [];
   }
 
   onVersionAnnouncement(announcement: WeightVersionAnnouncement): void {
--- a/src/coordination/gateway/group-heartbeats.ts
+++ b/src/coordination/gateway/group-heartbeats.ts
@@ -32,23 +32,23 @@
 
   /** Records that this process is running; call several times a second. */
   recordRunning(): void {
-    this.pauses.note(this.clock.now());
+    this.pauses.observe(this.clock.now());
   }
 
   /** Records a datagram of a member; ignored after a pause, when it may have been queued. */
   recordHeartbeat(nodeId: string): void {
     const nowMs = this.clock.now();
-    if (this.pauses.isSettled(nowMs)) this.heartbeats.note(nodeId, nowMs);
+    if (this.pauses.hasRecovered(nowMs)) this.heartbeats.record(nodeId, nowMs);
   }
 
   /** Applies the heartbeats that another router reported. */
   merge({ heardMembers, heardAgesMs }: ReportedHeartbeats): void {
     const nowMs = this.clock.now();
-    if (!this.pauses.isSettled(nowMs)) return;
+    if (!this.pauses.hasRecovered(nowMs)) return;
     for (const [index, key] of heardMembers.entries()) {
       const nodeId = this.idsByKey.get(key);
       const ageMs = heardAgesMs[index];
-      if (nodeId !== undefined && ageMs !== undefined) this.heartbeats.note(nodeId, nowMs, ageMs);
+      if (nodeId !== undefined && ageMs !== undefined) this.heartbeats.record(nodeId, nowMs, ageMs);
     }
   }
 
@@ -70,8 +70,8 @@
   }
 
   /** Milliseconds since the last direct or reported heartbeat of a member; Infinity if none. */
-  silenceMs(nodeId: string): number {
-    return this.heartbeats.silenceMs(nodeId, this.clock.now());
+  heartbeatAgeMs(nodeId: string): number {
+    return this.heartbeats.heartbeatAgeMs(nodeId, this.clock.now());
   }
 
   /** Sets the known members and forgets all others. */
--- a/src/coordination/gateway/group-membership.ts
+++ b/src/coordination/gateway/group-membership.ts
@@ -169,7 +169,7 @@
 
   /** Working members with a recent direct or reported heartbeat, and this router. */
   get responding(): MemberUpdate[] {
-    return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= HEARTBEAT_TIMEOUT_MS);
+    return this.working.filter(({ nodeId }) => this.heartbeatAgeMs(nodeId) <= HEARTBEAT_TIMEOUT_MS);
   }
 
   /** Whether the group is so large that its routers do not all report to each other. */
@@ -182,7 +182,7 @@
     const timeoutMs = this.reports.isLarge
       ? HEARTBEAT_TIMEOUT_MS
       : SMALL_GROUP_HEARTBEAT_TIMEOUT_MS;
-    return this.working.filter(({ nodeId }) => this.silenceMs(nodeId) <= timeoutMs);
+    return this.working.filter(({ nodeId }) => this.heartbeatAgeMs(nodeId) <= timeoutMs);
   }
 
   /**
@@ -192,13 +192,13 @@
   isAvailable(nodeId: string): boolean {
     const member = this.working.find((each) => each.nodeId === nodeId);
     if (member?.status !== MemberStatus.Alive) return false;
-    return this.reports.isLarge || this.silenceMs(nodeId) <= HEARTBEAT_TIMEOUT_MS;
+    return this.reports.isLarge || this.heartbeatAgeMs(nodeId) <= HEARTBEAT_TIMEOUT_MS;
   }
 
   /** Milliseconds since the last heartbeat of a member; Infinity if there was none. */
-  silenceMs(nodeId: string): number {
+  heartbeatAgeMs(nodeId: string): number {
     if (nodeId === this.own.nodeId) return 0;
-    return this.heartbeats.silenceMs(nodeId);
+    return this.heartbeats.heartbeatAgeMs(nodeId);
   }
 
   /** Joins the group; call once this router can serve requests. */
@@ -235,8 +235,8 @@
   }
 
   /** Milliseconds until a report of {@link reportNow} has reached nearly all routers. */
-  get announcementMs(): number {
-    return this.reports.announcementMs;
+  get propagationMs(): number {
+    return this.reports.propagationMs;
   }
 
   /** Sends pending announcements without waiting for the next periodic report. */
@@ -306,7 +306,7 @@
     if (this.membership.version === this.seenVersion) return;
     this.seenVersion = this.membership.version;
     const members = this.membership.all();
-    this.changeLog.logChanges(members, (nodeId) => this.silenceMs(nodeId));
+    this.changeLog.logChanges(members, (nodeId) => this.heartbeatAgeMs(nodeId));
     this.heartbeats.retain(members.map(({ nodeId }) => nodeId));
     if (this.isAnnouncementPending || !this.isStarted) return;
     this.isAnnouncementPending = true;
--- a/src/coordination/gateway/group-reports.ts
+++ b/src/coordination/gateway/group-reports.ts
@@ -26,7 +26,7 @@
   type WeightLoadAnnouncement,
   WeightLoadAnnouncements,
 } from '../../state/routing/weight-load-announcements.js';
-import { decodeWork, encodeWork } from './work-codec.js';
+import { decodeLoads, encodeLoads } from './load-codec.js';
 import { decodeCrashAnnouncements, encodeCrashAnnouncements } from './crash-announcement-codec.js';
 import type { GroupHeartbeats } from './group-heartbeats.js';
 import { decodeLimits, encodeLimits } from './limit-codec.js';
@@ -35,8 +35,8 @@
 /** Supplies the contents of reports and handles those received from other routers. */
 export interface GroupEvents {
   /** Weight loads to announce in the next report. */
-  weightsNews(): readonly WeightLoadAnnouncement[];
-  onWeightsNews(announcement: WeightLoadAnnouncement): void;
+  weightLoadAnnouncements(): readonly WeightLoadAnnouncement[];
+  onWeightLoadAnnouncement(announcement: WeightLoadAnnouncement): void;
   /** Store position of the coordinator's lease, while this router holds it. */
   heldLease(): StorePosition | undefined;
   onHeldLease(holder: string, position: StorePosition): void;
@@ -47,14 +47,14 @@
   limitAnnouncements(): readonly EngineLimitAnnouncement[];
   onLimitAnnouncement(announcement: EngineLimitAnnouncement): void;
   /** Whether there are crash announcements that have not been sent yet. */
-  readonly hasCrashNews: boolean;
+  readonly hasCrashAnnouncements: boolean;
   /** Returns the engine crashes and quarantined requests to announce in one report. */
-  takeCrashNews(): CrashAnnouncements;
+  takeCrashAnnouncements(): CrashAnnouncements;
   /**
    * @param isRelayed whether new announcements must be relayed because the group is large
    * @returns true if relaying should not wait for the next report
    */
-  onCrashNews(announcements: CrashAnnouncements, isRelayed: boolean): boolean;
+  onCrashAnnouncements(announcements: CrashAnnouncements, isRelayed: boolean): boolean;
 }
 
 /** The parts of the group that reports use. */
@@ -115,7 +115,7 @@
   }
 
   /** Milliseconds until a report of {@link reportNow} has reached nearly all routers. */
-  get announcementMs(): number {
+  get propagationMs(): number {
     return this.isLarge ? LARGE_GROUP_PROPAGATION_MS : PROPAGATION_MS;
   }
 
@@ -134,7 +134,7 @@
     this.parts.heartbeats.recordHeartbeat(report.sender);
     this.parts.heartbeats.merge(report);
     if (!report.withoutLoads) {
-      const loads = decodeWork(report.engines);
+      const loads = decodeLoads(report.engines);
       this.parts.loads.receive(report.sender, report.sequence, loads, nowMs);
     }
     this.receiveWeightLoads(report.weights, nowMs);
@@ -146,7 +146,10 @@
     for (const announcement of decodeLimits(report.limits))
       this.parts.events.onLimitAnnouncement(announcement);
     const { isLarge } = this;
-    const isUrgent = this.parts.events.onCrashNews(decodeCrashAnnouncements(report), isLarge);
+    const isUrgent = this.parts.events.onCrashAnnouncements(
+      decodeCrashAnnouncements(report),
+      isLarge,
+    );
     if (isUrgent && isLarge) this.scheduleReport(SAMPLED_FANOUT);
   }
 
@@ -155,9 +158,9 @@
     let isAnyNew = false;
     for (const { engineId, model, version, isLoading, ageMs } of weights) {
       const announcement: WeightLoadAnnouncement = { engineId, model, version, isLoading, ageMs };
-      if (!this.weightLoads.take(announcement, nowMs)) continue;
+      if (!this.weightLoads.record(announcement, nowMs)) continue;
       isAnyNew = true;
-      this.parts.events.onWeightsNews(announcement);
+      this.parts.events.onWeightLoadAnnouncement(announcement);
     }
     if (isAnyNew && this.isLarge) this.scheduleReport(SAMPLED_FANOUT);
   }
@@ -187,9 +190,9 @@
     const { loads, events } = this.parts;
     const isIdle =
       loads.ownLoads.size === 0 &&
-      events.weightsNews().length === 0 &&
+      events.weightLoadAnnouncements().length === 0 &&
       events.limitAnnouncements().length === 0 &&
-      !events.hasCrashNews;
+      !events.hasCrashAnnouncements;
     this.idleReports = isIdle ? this.idleReports + 1 : 0;
     if (isIdle && this.idleReports % IDLE_REPORT_PERIODS !== 1) return;
     // In a large group the load collector distributes the work of all routers.
@@ -201,7 +204,7 @@
     if (this.isStopped) return;
     this.sequence += 1;
     if (!withoutLoads) this.reportedVersion = this.parts.loads.ownVersion;
-    const engines = withoutLoads ? [] : encodeWork(this.parts.loads.ownLoads);
+    const engines = withoutLoads ? [] : encodeLoads(this.parts.loads.ownLoads);
     const weights = this.weightLoadsToSend().map((announcement) =>
       create(EngineWeightsSchema, announcement),
     );
@@ -216,7 +219,7 @@
       ...encodeHeldLease(this.parts.events.heldLease()),
       withoutLoads,
       limits: encodeLimits(this.parts.events.limitAnnouncements()),
-      ...encodeCrashAnnouncements(this.parts.events.takeCrashNews()),
+      ...encodeCrashAnnouncements(this.parts.events.takeCrashAnnouncements()),
       // In a small group all routers receive each other's heartbeats directly.
       ...(this.isLarge ? this.parts.heartbeats.sample() : {}),
     });
@@ -227,10 +230,10 @@
 
   /** This router's announcements; in a large group also recent ones of other routers. */
   private weightLoadsToSend(): readonly WeightLoadAnnouncement[] {
-    const own = this.parts.events.weightsNews();
+    const own = this.parts.events.weightLoadAnnouncements();
     const nowMs = this.parts.clock.now();
-    for (const announcement of own) this.weightLoads.take(announcement, nowMs);
-    return this.isLarge ? this.weightLoads.toTell(nowMs) : own;
+    for (const announcement of own) this.weightLoads.record(announcement, nowMs);
+    return this.isLarge ? this.weightLoads.toRelay(nowMs) : own;
   }
 
   /** All other members of a small group, or a random sample of `fanout` members of a large one. */
--- a/src/coordination/gateway/lease-keeper.ts
+++ b/src/coordination/gateway/lease-keeper.ts
@@ -66,7 +66,7 @@
 
   /** Applies the position of the lease record that another holder has announced. */
   observePosition(position: StorePosition): void {
-    this.lease.hear(position, this.clock.now());
+    this.lease.recordReportedWrite(position, this.clock.now());
   }
 
   /** Makes the next due call, if any; resolves when it has succeeded or failed. */
@@ -88,7 +88,7 @@
   }
 
   private noteFailure(cause: unknown): void {
-    this.lease.noteUnanswered();
+    this.lease.invalidate();
     this.failures += 1;
     const pauseMs = Math.min(MAXIMUM_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (this.failures - 1));
     this.nextCallMs = this.clock.now() + pauseMs;
@@ -109,7 +109,7 @@
     const result = await this.write(step, record);
     const isSameEra = result.era === eraBefore && this.eras.newest === eraBefore;
     if (result.kind === 'written' && isSameEra) {
-      this.lease.noteWritten({ record, position: result.object.position }, startedAt);
+      this.lease.recordWrite({ record, position: result.object.position }, startedAt);
       if (step !== LeaseStep.Renew) {
         this.logger.info('lease_taken', { token: record.fencingToken, step, era: result.era });
       }
@@ -118,7 +118,7 @@
     const present = result.kind === 'conflict' ? result.present : undefined;
     if (present) this.lease.observe(viewOf(present), result.era, this.clock.now());
     // Also after a write in another store era: its revision may belong to another holder's record.
-    else this.lease.noteUnanswered();
+    else this.lease.invalidate();
     this.logger.info('lease_lost', {
       step,
       present: present?.position.revision,
--- a/src/coordination/gateway/listed-engines.ts
+++ b/src/coordination/gateway/listed-engines.ts
@@ -24,7 +24,7 @@
 export interface ListedEnginesParts {
   readonly configuration: ConfigurationState;
   readonly health: EngineHealth;
-  readonly kept: CachedPrefixes;
+  readonly cachedPrefixes: CachedPrefixes;
   readonly engines: InferencePort;
   readonly group: GroupMembership;
   readonly statistics: GatewayStatistics;
@@ -45,18 +45,18 @@
    * Called at a restart: load commands to the previous incarnation are void, and it may have
    * crashed.
    */
-  onReborn(restart: EngineRestart): void;
+  onRestarted(restart: EngineRestart): void;
   /**
    * Called at a restart and once more shortly after: sends to the previous incarnation have failed.
    */
-  breakFormerLife(restart: EngineRestart): void;
+  failPreviousIncarnation(restart: EngineRestart): void;
 }
 
 /** The engines of one router. */
 export class ListedEngines {
   readonly registry = new EngineRegistry();
   readonly incarnations: EngineIncarnationTracker;
-  readonly odd: MalformedEntries;
+  readonly malformedEntries: MalformedEntries;
   readonly list: EngineList;
   private readonly feeds: CacheFeeds;
   private readonly followedFeeds: FollowedFeeds;
@@ -72,18 +72,18 @@
       onChanged: () => this.scheduleChange(),
       onRestarted: (restart) => this.handleRestart(restart),
     });
-    this.odd = new MalformedEntries(statistics, clock, logger);
+    this.malformedEntries = new MalformedEntries(statistics, clock, logger);
     this.feeds = new CacheFeeds({
       ...parts,
-      isOfHolder: (holder, bornMs) =>
-        this.incarnations.acceptResponseOf(holder, bornMs, 'cache-events'),
+      isOfHolder: (holder, startedAtMs) =>
+        this.incarnations.acceptResponseOf(holder, startedAtMs, 'cache-events'),
     });
     this.followedFeeds = new FollowedFeeds(this.feeds, configuration, registry, group);
     this.list = new EngineList({
       ...parts,
       registry,
       incarnations: this.incarnations,
-      malformed: this.odd,
+      malformed: this.malformedEntries,
       onChanged: () => this.noteChanged(),
       isKnownService: (service) => this.isKnownService(service),
     });
@@ -121,13 +121,13 @@
 
   /** Drops the state of removed engines after a change of the list. */
   private noteChanged(): void {
-    const { engines, health, kept, configuration } = this.parts;
+    const { engines, health, cachedPrefixes, configuration } = this.parts;
     const { ids } = this.registry;
     engines.retain(ids);
     health.retain(ids);
     const stores = configuration.current?.cacheStores ?? [];
     const addresses = stores.flatMap(({ cacheStore }) => cacheStore?.address ?? []);
-    kept.retain(new Set([...ids, ...addresses]));
+    cachedPrefixes.retain(new Set([...ids, ...addresses]));
     this.listener?.onChanged();
   }
 
@@ -146,9 +146,11 @@
   }
 
   private handleRestart(restart: EngineRestart): void {
-    this.listener?.onReborn(restart);
-    this.listener?.breakFormerLife(restart);
+    this.listener?.onRestarted(restart);
+    this.listener?.failPreviousIncarnation(restart);
     // Repeated for calls whose connection was active shortly before.
-    this.parts.clock.setTimer(CLOCK_TOLERANCE_MS, () => this.listener?.breakFormerLife(restart));
+    this.parts.clock.setTimer(CLOCK_TOLERANCE_MS, () =>
+      this.listener?.failPreviousIncarnation(restart),
+    );
   }
 }
--- a/src/coordination/gateway/load-collection.ts
+++ b/src/coordination/gateway/load-collection.ts
@@ -19,11 +19,15 @@
 } from '../../protocol/peer/generated/cluster_pb.js';
 import { memberKey } from '../../state/member-key.js';
 import type { MemberUpdate } from '../../state/membership.js';
-import { CollectedLoads, SentReports, busiest } from '../../state/routing/collected-loads.js';
+import {
+  CollectedLoads,
+  SentReports,
+  busiestEngines,
+} from '../../state/routing/collected-loads.js';
 import type { EngineRegistry } from '../../state/routing/engine-registry.js';
 import type { EngineLoad, LoadReport, LoadTable } from '../../state/routing/load-table.js';
 import { CollectorChoice, type CollectorGroup } from './collector-choice.js';
-import { decodeWork, encodeWork } from './work-codec.js';
+import { decodeLoads, encodeLoads } from './load-codec.js';
 
 /** The parts of the group that load collection uses. */
 export interface CollectionGroup extends CollectorGroup {
@@ -115,7 +119,7 @@
     const isOwn = collector?.nodeId === group.own.nodeId;
     // A router that reports to another collector leaves its own work out of its summaries.
     if (isOwn) this.sendSummary(this.parts.loads.ownLoads, now);
-    else if (this.collected.silenceMs(now) < COLLECTING_MS) this.sendSummary(NO_LOADS, now);
+    else if (this.collected.sinceLastReportMs(now) < COLLECTING_MS) this.sendSummary(NO_LOADS, now);
     if (collector && !isOwn) this.sendReport(collector, now);
   }
 
@@ -141,7 +145,7 @@
     const report = create(WorkReportSchema, {
       sender: group.own.nodeId,
       sequence: this.sequence,
-      engines: encodeWork(loads.ownLoads),
+      engines: encodeLoads(loads.ownLoads),
     });
     this.sentReports.note(collector.nodeId, loads.ownLoads, now);
     group.send(collector.gossipAddress, encodeWorkReport(report));
@@ -153,7 +157,7 @@
     this.idleSummaries = sums.size === 0 ? this.idleSummaries + 1 : 0;
     if (this.idleSummaries % IDLE_SUMMARY_SKIP_PERIOD > 1) return;
     this.sequence += 1;
-    const entries = busiest(sums, MAXIMUM_SUMMARY_ENGINES);
+    const entries = busiestEngines(sums, MAXIMUM_SUMMARY_ENGINES);
     const summary = create(WorkSummarySchema, {
       sender: group.own.nodeId,
       sequence: this.sequence,
@@ -169,9 +173,9 @@
   }
 
   private applyReport({ sender, sequence, engines }: WorkReport): void {
-    const reported = decodeWork(engines);
+    const reported = decodeLoads(engines);
     const now = this.parts.clock.now();
-    this.collected.take(sender, sequence, reported, now);
+    this.collected.record(sender, sequence, reported, now);
     this.parts.loads.receive(sender, sequence, reported, now);
   }
 
@@ -179,7 +183,7 @@
     const now = this.parts.clock.now();
     const { sender, sequence } = summary;
     this.choice.recordSummary(sender, now);
-    const others = this.sentReports.othersOf(sender, this.decode(summary), now);
+    const others = this.sentReports.withoutOwnLoad(sender, this.decode(summary), now);
     const lifetimeMs = SUMMARY_LIFETIME_PERIODS * this.periodMs;
     this.parts.loads.receive(SUMMARY_SOURCE + sender, sequence, others, now, lifetimeMs);
   }
--- a/src/coordination/gateway/load-command-sender.ts
+++ b/src/coordination/gateway/load-command-sender.ts
@@ -6,8 +6,8 @@
 import type { Logger } from '../../runtime/logger.js';
 import type {
   InferencePort,
-  OrderResult,
-  WeightOrder,
+  LoadCommandResult,
+  LoadCommandRequest,
   WeightState,
 } from '../../protocol/inference/port.js';
 import type { EngineHealth } from '../../state/routing/engine-health.js';
@@ -28,7 +28,7 @@
   readonly registry: EngineRegistry;
   readonly incarnations: EngineIncarnationTracker;
   readonly health: EngineHealth;
-  readonly kept: CachedPrefixes;
+  readonly cachedPrefixes: CachedPrefixes;
   readonly engines: InferencePort;
   readonly lease: LeaseKeeper;
   readonly statistics: GatewayStatistics;
@@ -66,12 +66,12 @@
 
   /** Announcements for the other routers. */
   get announcements(): WeightLoadAnnouncement[] {
-    return this.commands.news(this.now);
+    return this.commands.announcements(this.now);
   }
 
   /** Drops the load commands of an incarnation that has ended. */
   forgetIncarnation(engineId: string): void {
-    this.commands.forget(engineId);
+    this.commands.remove(engineId);
   }
 
   /** Drops commands that no longer need to be announced. */
@@ -92,15 +92,16 @@
   /** Announces that an engine will load a version, then sends it the load command. */
   async send(engine: Engine, model: string, version: number): Promise<void> {
     const { id } = engine.record;
-    this.commands.open(id, model, version, this.now);
+    this.commands.add(id, model, version, this.now);
     // Lets the other routers stop sending to the engine before it rejects requests.
     this.parts.health.noteLoading(id, this.now);
     this.settings.announce();
     const [sequence] = await Promise.all([
-      engine.observedOrders ?? this.stateOf(engine, model).then((state) => state?.orderSequence),
+      engine.observedLoadCommands ??
+        this.stateOf(engine, model).then((state) => state?.orderSequence),
       sleep(this.parts.clock, this.settings.announcementMs()),
     ]);
-    const expectedSequence = engine.observedOrders ?? sequence;
+    const expectedSequence = engine.observedLoadCommands ?? sequence;
     const fencingToken = this.parts.lease.activeToken;
     const maySend = this.isPresent(engine) && !this.isLeaving;
     if (expectedSequence === undefined || fencingToken === undefined || !maySend) {
@@ -111,13 +112,17 @@
     this.parts.statistics.orders += 1;
     const { holder } = this.settings;
     const order = { model, version, holder, fencingToken, expectedSequence };
-    this.handleResult(engine, order, await this.parts.engines.order(engine.record, order));
+    this.handleResult(
+      engine,
+      order,
+      await this.parts.engines.sendLoadCommand(engine.record, order),
+    );
   }
 
   /** Polls the engines that are executing load commands. */
   async pollLoading(): Promise<void> {
     if (this.now - this.lastPollMs < POLL_PERIOD_MS) return;
-    const due = this.commands.toPoll(this.now);
+    const due = this.commands.dueForPolling(this.now);
     if (due.length === 0) return;
     this.lastPollMs = this.now;
     await Promise.all(due.map(([engineId, command]) => this.pollEngine(engineId, command)));
@@ -127,7 +132,7 @@
   noteVersion(engine: Engine, model: string, version: number): void {
     if ((versionAt(engine, model) ?? 0) < version) {
       engine.observedVersions.set(model, version);
-      this.parts.kept.forget(engine.record.id);
+      this.parts.cachedPrefixes.forget(engine.record.id);
     }
     this.parts.health.noteLoaded(engine.record.id);
   }
@@ -138,10 +143,10 @@
 
   /** Queries an engine's weight state; undefined on failure or if the incarnation has changed. */
   private async stateOf(engine: Engine, model: string): Promise<WeightState | undefined> {
-    const state = await this.parts.engines.weightState(engine.record, model);
+    const state = await this.parts.engines.readWeightState(engine.record, model);
     const isOfIncarnation = this.parts.incarnations.acceptResponse(
       engine.record,
-      state?.bornMs,
+      state?.startedAtMs,
       'report',
     );
     return isOfIncarnation && this.isPresent(engine) ? state : undefined;
@@ -152,7 +157,7 @@
     return this.parts.registry.find(engine.record.id) !== undefined;
   }
 
-  private handleResult(engine: Engine, order: WeightOrder, result: OrderResult): void {
+  private handleResult(engine: Engine, order: LoadCommandRequest, result: LoadCommandResult): void {
     const { id } = engine.record;
     const { model, version, expectedSequence, fencingToken } = order;
     this.parts.logger.info('weights_ordered', {
@@ -164,16 +169,20 @@
       result: result.kind,
       status: result.kind === 'rejected' ? result.status : undefined,
     });
-    const bornMs = 'bornMs' in result ? result.bornMs : undefined;
-    const isOfIncarnation = this.parts.incarnations.acceptResponse(engine.record, bornMs, 'order');
+    const startedAtMs = 'startedAtMs' in result ? result.startedAtMs : undefined;
+    const isOfIncarnation = this.parts.incarnations.acceptResponse(
+      engine.record,
+      startedAtMs,
+      'order',
+    );
     if (!isOfIncarnation || !this.isPresent(engine)) {
       // Sequence numbers and versions are valid for one incarnation only.
-      engine.observedOrders = undefined;
+      engine.observedLoadCommands = undefined;
       this.abandonCommand(id);
       return;
     }
     // Unless exactly this command was accepted, the engine is queried before the next command.
-    engine.observedOrders = result.kind === 'accepted' ? expectedSequence + 1 : undefined;
+    engine.observedLoadCommands = result.kind === 'accepted' ? expectedSequence + 1 : undefined;
     if (result.kind === 'already-done') this.finishCommand(engine, model, version);
     if (result.kind === 'rejected') this.abandonCommand(id);
     if (result.kind === 'replaced') this.noteReplaced(id);
@@ -182,7 +191,7 @@
 
   /** Marks an engine as replaced: an outdated list still contains it, but it is unreachable. */
   private noteReplaced(engineId: string): void {
-    this.commands.forget(engineId);
+    this.commands.remove(engineId);
     if (this.parts.registry.noteReplaced(engineId)) {
       this.parts.logger.info('engine_replaced', { engine: engineId, found_by: 'order' });
     }
@@ -192,8 +201,8 @@
    * Abandons a command: the engine continues to serve and may get another command after a pause.
    */
   private abandonCommand(engineId: string): void {
-    if (this.parts.registry.find(engineId)) this.commands.giveUp(engineId, this.now);
-    else this.commands.forget(engineId);
+    if (this.parts.registry.find(engineId)) this.commands.recordRefusal(engineId, this.now);
+    else this.commands.remove(engineId);
     this.parts.health.noteLoaded(engineId);
   }
 
@@ -202,7 +211,7 @@
    * never. If it wasn't accepted, the next command uses the same sequence number, so that only one
    * is executed.
    */
-  private async resolveUnanswered(engine: Engine, order: WeightOrder): Promise<void> {
+  private async resolveUnanswered(engine: Engine, order: LoadCommandRequest): Promise<void> {
     const state = await this.stateOf(engine, order.model);
     const isAccepted = state && (state.isBusy || state.orderSequence > order.expectedSequence);
     if (!isAccepted) this.abandonCommand(engine.record.id);
@@ -211,7 +220,7 @@
   private async pollEngine(engineId: string, command: LoadCommand): Promise<void> {
     const engine = this.parts.registry.find(engineId);
     if (!engine) {
-      this.commands.forget(engineId);
+      this.commands.remove(engineId);
       return;
     }
     this.parts.health.noteLoading(engineId, this.now);
@@ -227,7 +236,7 @@
   }
 
   private finishCommand(engine: Engine, model: string, version: number): void {
-    const tookMs = this.commands.finish(engine.record.id, this.now);
+    const tookMs = this.commands.complete(engine.record.id, this.now);
     if (tookMs !== undefined) {
       this.parts.logger.info('weights_loaded', {
         engine: engine.record.id,
--- a/src/coordination/gateway/malformed-entries.ts
+++ b/src/coordination/gateway/malformed-entries.ts
@@ -31,15 +31,15 @@
   ) {}
 
   /** Reports the entry `key` as malformed at a store position. */
-  note(key: string, position: StorePosition, reason: string): void {
-    if (this.positions.get(key)?.isSame(position)) return;
+  report(key: string, position: StorePosition, reason: string): void {
+    if (this.positions.get(key)?.equals(position)) return;
     this.remember(key, position);
     this.countAndLog(key, position, reason, 1);
   }
 
   /** Reports items of one store response that had no key. */
-  noteUnnamed(count: number, position: StorePosition): void {
-    if (this.positions.get(NO_KEY)?.isSame(position)) return;
+  reportUnnamed(count: number, position: StorePosition): void {
+    if (this.positions.get(NO_KEY)?.equals(position)) return;
     this.remember(NO_KEY, position);
     this.countAndLog(NO_KEY, position, 'no key that can be read', count);
   }
--- a/src/coordination/gateway/object-follower.ts
+++ b/src/coordination/gateway/object-follower.ts
@@ -12,7 +12,7 @@
   ListFreshness,
   type ObjectStorePort,
   type StoredObject,
-  type UnnamedItems,
+  type StoreResponse,
 } from '../../protocol/object-store/port.js';
 import {
   type ProtocolError,
@@ -27,7 +27,7 @@
   onList(objects: readonly StoredObject[], proven: ElapsedInstant): void;
   onObject(object: StoredObject, proven: ElapsedInstant, isRelayed: boolean): void;
   /** @param position the position of the object's last change before its removal */
-  onGone(name: string, position: StorePosition): void;
+  onRemoved(name: string, position: StorePosition): void;
   /** A response contained items without a readable key; its other items are valid. */
   onUnnamed(items: number, position: StorePosition): void;
   /** A call succeeded, with or without changes, at the store or at another router. */
@@ -35,7 +35,7 @@
   /** A call failed. */
   onFailure(): void;
   /** The store has lost its history, so other pending watches may never return changes. */
-  onHistoryGone(): void;
+  onHistoryLost(): void;
   /** The store was restored from an older copy; the next list contains the restored state. */
   onRestored(era: number): void;
 }
@@ -46,7 +46,7 @@
   /** Longest wait of a watch; a response without changes proves that nothing changed. */
   readonly watchMs: number;
   /** Pause after a response with changes, so that one call returns the next ones together. */
-  readonly gatherMs: number;
+  readonly batchDelayMs: number;
   /**
    * Resolves when the first watch may start after the first list. A router that joins discovers its
    * group first, so that it can follow the store through a reader.
@@ -132,7 +132,7 @@
   private async step(): Promise<void> {
     const { position: requestedPosition } = this;
     if (requestedPosition === undefined) return this.listFirst();
-    const { kind, watchMs, gatherMs } = this.settings;
+    const { kind, watchMs, batchDelayMs: gatherMs } = this.settings;
     const callStart = this.clock.elapsed();
     const result = await this.store.watch(kind, requestedPosition, watchMs);
     if (this.isStopped || this.position !== requestedPosition) return;
@@ -143,16 +143,16 @@
         revision: requestedPosition.revision,
       });
       this.position = undefined;
-      this.events.onHistoryGone();
+      this.events.onHistoryLost();
       return;
     }
     const { proven = callStart, isRelayed = false } = result;
     for (const { object, isGone } of result.events) {
-      if (isGone) this.events.onGone(object.name, object.position);
+      if (isGone) this.events.onRemoved(object.name, object.position);
       else this.events.onObject(object, proven, isRelayed);
     }
     this.reportUnnamedItems(result);
-    this.advanceTo(requestedPosition.latest(result.position));
+    this.advanceTo(requestedPosition.later(result.position));
     this.events.onAnswer(proven, isRelayed);
     if (result.events.length > 0 && gatherMs > 0) await sleep(this.clock, gatherMs);
   }
@@ -196,13 +196,13 @@
     if (before.era !== StoreEra.Unknown) this.events.onRestored(now.era);
   }
 
-  private reportUnnamedItems({ unnamedItems, position }: UnnamedItems): void {
+  private reportUnnamedItems({ unnamedItems, position }: StoreResponse): void {
     if (unnamedItems) this.events.onUnnamed(unnamedItems, position);
   }
 
   private advanceTo(position: StorePosition): void {
     this.position = position;
-    this.newestPosition = this.newestPosition.latest(position);
+    this.newestPosition = this.newestPosition.later(position);
   }
 
   private recordSuccess(): void {
--- a/src/coordination/gateway/final-answers.ts
+++ b/src/coordination/gateway/permanent-rejections.ts
@@ -1,10 +1,10 @@
 /** Permanent rejections: responses without a retry delay. */
-import type { OwnAnswer } from './reply.js';
+import type { RouterResponse } from './reply.js';
 
 /** The request crashes engines; the status keeps client libraries from retrying it. */
-export const REQUEST_CRASHES_ENGINES: OwnAnswer = {
+export const REQUEST_CRASHES_ENGINES: RouterResponse = {
   status: 422,
   reason: 'request-crashes-engines',
 };
 /** The request is larger than its tenant's limit can ever grant. */
-export const REQUEST_EXCEEDS_LIMIT: OwnAnswer = { status: 429, reason: 'larger-than-quota' };
+export const REQUEST_EXCEEDS_LIMIT: RouterResponse = { status: 429, reason: 'larger-than-quota' };
--- a/src/coordination/gateway/previous-incarnation.ts
+++ b/src/coordination/gateway/previous-incarnation.ts
@@ -20,12 +20,14 @@
 /** Whether a send certainly belongs to the previous incarnation and its connection is inactive. */
 export function belongsToPreviousIncarnation(
   send: Send,
-  { former: previous, bornMs }: EngineRestart,
+  { previous, startedAtMs }: EngineRestart,
   clock: Clock,
 ): boolean {
-  const { name, bornMs: addressedMs } = send.placement.engine.record;
-  if (name !== previous.name || !isLaterIncarnation(bornMs, addressedMs)) return false;
+  const { name, startedAtMs: addressedMs } = send.placement.engine.record;
+  if (name !== previous.name || !isLaterIncarnation(startedAtMs, addressedMs)) return false;
   const now = clock.now();
   const sentWallMs = clock.wallNow() - (now - send.sentMs);
-  return sentWallMs < bornMs - CLOCK_TOLERANCE_MS && now - send.lastSignMs >= INACTIVITY_MS;
+  return (
+    sentWallMs < startedAtMs - CLOCK_TOLERANCE_MS && now - send.lastActivityMs >= INACTIVITY_MS
+  );
 }
--- a/src/coordination/gateway/quarantine-store.ts
+++ b/src/coordination/gateway/quarantine-store.ts
@@ -139,7 +139,7 @@
     const { store, kind } = this.parts;
     let pauseMs = LIST_PERIOD_MS;
     try {
-      const { objects, position } = await store.list(kind, ListFreshness.MayBeOld);
+      const { objects, position } = await store.list(kind, ListFreshness.MayBeStale);
       this.listFailures = 0;
       if (!this.isStopped) this.applyList(objects, position);
     } catch (cause) {
--- a/src/coordination/gateway/quota/group-quota-view.ts
+++ b/src/coordination/gateway/quota/group-quota-view.ts
@@ -53,16 +53,16 @@
     return this.refreshed().own;
   }
 
-  silenceMs(address: string): number {
+  heartbeatAgeMs(address: string): number {
     const nodeId = this.nodeIdAt(address);
-    return nodeId === undefined ? Infinity : this.group.silenceMs(nodeId);
+    return nodeId === undefined ? Infinity : this.group.heartbeatAgeMs(nodeId);
   }
 
   isMissing(address: string): boolean {
     if (this.group.isLarge) return false;
     const nodeId = this.nodeIdAt(address);
     // Seeds are queried before they are discovered, so an unknown address is not missing.
-    return nodeId !== undefined && this.group.silenceMs(nodeId) > this.heartbeatTimeoutMs;
+    return nodeId !== undefined && this.group.heartbeatAgeMs(nodeId) > this.heartbeatTimeoutMs;
   }
 
   send(address: string, datagram: Uint8Array): void {
@@ -91,7 +91,7 @@
     if (now - this.shares.atMs < MAXIMUM_SHARES_AGE_MS) return this.shares;
     const { working } = this.group;
     const responsive = working.filter(
-      ({ nodeId }) => this.group.silenceMs(nodeId) <= this.heartbeatTimeoutMs,
+      ({ nodeId }) => this.group.heartbeatAgeMs(nodeId) <= this.heartbeatTimeoutMs,
     );
     const capacity = totalCapacity(working);
     const responsiveShare = capacity > 0 ? totalCapacity(responsive) / capacity : 1;
--- a/src/coordination/gateway/quota/quota-accounts.ts
+++ b/src/coordination/gateway/quota/quota-accounts.ts
@@ -66,7 +66,7 @@
   }
 
   private accountOf(tenantName: string, isSubstitute: boolean): TenantAccount | undefined {
-    const limit = this.configuration.current?.findTenantNamed(tenantName)?.limit;
+    const limit = this.configuration.current?.findTenantByName(tenantName)?.limit;
     if (!limit) {
       this.accounts.delete(tenantName);
       return undefined;
@@ -81,7 +81,7 @@
     const conditions = { tolerance, reachableShare, ownShare, hasRunForWindow };
     const existing = this.accounts.get(tenantName);
     if (existing) {
-      existing.adapt(limit, conditions, now);
+      existing.reconfigure(limit, conditions, now);
       return existing;
     }
     const account = new TenantAccount(limit, conditions, now);
--- a/src/coordination/gateway/quota/quota-group.ts
+++ b/src/coordination/gateway/quota/quota-group.ts
@@ -19,7 +19,7 @@
    * Time since the last heartbeat of the router at an address, in milliseconds; Infinity if there
    * was none.
    */
-  silenceMs(address: string): number;
+  heartbeatAgeMs(address: string): number;
   /**
    * Whether the router at an address is certainly partitioned or down; always false in a large
    * group.
--- a/src/coordination/gateway/quota/quota-queries.ts
+++ b/src/coordination/gateway/quota/quota-queries.ts
@@ -82,7 +82,7 @@
     if (!pending) return;
     this.pending.delete(number);
     pending.timer?.cancel();
-    this.ranking.noteAnswer(pending.owners[0] as string);
+    this.ranking.recordResponse(pending.owners[0] as string);
     const isPermanent = !isGranted && retryAfterMs === 0;
     pending.onVerdict({
       isGranted,
@@ -130,7 +130,7 @@
   private skipUnresponsiveOwner(pending: PendingQuery): void {
     const address = pending.owners.shift() as string;
     pending.sends = 0;
-    this.ranking.noteSilent(address, this.clock.now());
+    this.ranking.recordTimeout(address, this.clock.now());
     this.logger.warn('quota_accountant_silent', {
       accountant: address,
       tenant: pending.query.tenant,
--- a/src/coordination/gateway/quota/tenant-quotas.ts
+++ b/src/coordination/gateway/quota/tenant-quotas.ts
@@ -126,7 +126,7 @@
     this.parts.statistics.quotaByTenant.noteGranted(tenant.name, amount);
     this.charge(tenant.name, { amount, isTaken: true }, (verdict) => {
       if (verdict) this.setWatch(tenant.name, verdict.watchMs);
-      else this.isolatedShareOf(tenant.name, limit).take(amount, this.parts.clock.now());
+      else this.isolatedShareOf(tenant.name, limit).charge(amount, this.parts.clock.now());
     });
   }
 
@@ -174,7 +174,7 @@
 
   private rankedOwners(tenantName: string): string[] {
     const { group, clock } = this.parts;
-    return this.ranking.of(tenantName, group.quotaOwnerAddresses, clock.now());
+    return this.ranking.candidates(tenantName, group.quotaOwnerAddresses, clock.now());
   }
 
   /**
@@ -205,7 +205,7 @@
 
   private chargeHere(tenantName: string, request: ChargeRequest): AccountedVerdict {
     const { ownAddress, quotaOwnerAddresses } = this.parts.group;
-    const isSubstitute = this.ranking.first(tenantName, quotaOwnerAddresses) !== ownAddress;
+    const isSubstitute = this.ranking.preferred(tenantName, quotaOwnerAddresses) !== ownAddress;
     return this.accounts.charge(tenantName, request, isSubstitute);
   }
 
@@ -232,7 +232,7 @@
     const now = this.parts.clock.now();
     const share = this.isolatedShareOf(tenant.name, limit);
     this.parts.statistics.quotaIsolated += 1;
-    if (share.tryTake(amount, now)) return { kind: 'granted', charge: amount };
+    if (share.tryCharge(amount, now)) return { kind: 'granted', charge: amount };
     const retryAfterMs = share.retryAfterMs(now);
     return { kind: 'denied', retryAfterMs, charge: amount, level: undefined, limit };
   }
@@ -245,7 +245,7 @@
       share = new IsolatedShare(limit, ownShare, now);
       this.isolatedShares.set(tenantName, share);
     }
-    share.adapt(limit, ownShare, now);
+    share.reconfigure(limit, ownShare, now);
     return share;
   }
 
--- a/src/coordination/gateway/rejections.ts
+++ b/src/coordination/gateway/rejections.ts
@@ -7,11 +7,11 @@
 import { FinishEstimate, type FinishSample } from '../../state/routing/finish-estimate.js';
 import type { GenerationShape } from '../../state/routing/generation.js';
 import type { Placement } from '../../state/routing/placement.js';
-import { JITTER_SHARE, RejectionAdvice, RejectionReason } from '../../state/routing/rejection.js';
+import { JITTER_SHARE, RetryDelays, RejectionReason } from '../../state/routing/rejection.js';
 import { SendRate } from '../../state/routing/send-rate.js';
 import type { StoreOutages } from '../../state/routing/store-outages.js';
 import type { GatewayStatistics } from './gateway-statistics.js';
-import type { OwnAnswer } from './reply.js';
+import type { RouterResponse } from './reply.js';
 
 /** Dependencies of {@link Rejections}. */
 export interface RejectionParts {
@@ -68,12 +68,12 @@
 
 /** Decides the rejections of one router. */
 export class Rejections {
-  private readonly advice: RejectionAdvice;
+  private readonly advice: RetryDelays;
   private readonly estimate = new FinishEstimate();
   private readonly finishRate = new SendRate();
 
   constructor(private readonly parts: RejectionParts) {
-    this.advice = new RejectionAdvice(parts.random);
+    this.advice = new RetryDelays(parts.random);
   }
 
   /** Whether a placed generation is expected to meet its deadline. */
@@ -100,7 +100,7 @@
     priority,
     excessMs = 0,
     engineWaitMs = 0,
-  }: RejectedRequest): OwnAnswer {
+  }: RejectedRequest): RouterResponse {
     const { clock, outages } = this.parts;
     const now = clock.now();
     const facts = {
@@ -109,7 +109,7 @@
       excessMs,
       engineWaitMs,
       finishesPerSecond: this.finishRate.perSecond(service, now),
-      storeOutMs: outages.outForMs(now),
+      storeOutMs: outages.currentOutageMs(now),
       hasPeers: this.parts.hasPeers(),
     };
     const retryAfterMs = this.advice.retryAfterMs(service, facts, now);
@@ -120,14 +120,14 @@
    * Returns the response to a request that exceeds its tenant's limit. The jitter spreads the
    * retries.
    */
-  overQuota(retryAfterMs: number): OwnAnswer {
+  overQuota(retryAfterMs: number): RouterResponse {
     const jitterMs = retryAfterMs * JITTER_SHARE * this.parts.random.next();
     return { status: STATUS_OVER_QUOTA, reason: 'quota', retryAfterMs: retryAfterMs + jitterMs };
   }
 
   /** Records that a service finished a request. */
   noteFinish(service: string): void {
-    this.finishRate.note(service, 1, this.parts.clock.now());
+    this.finishRate.record(service, 1, this.parts.clock.now());
   }
 
   /** Records the pause between two chunks of a stream, in milliseconds. */
--- a/src/coordination/gateway/reply.ts
+++ b/src/coordination/gateway/reply.ts
@@ -24,7 +24,7 @@
 }
 
 /** A response produced by the router itself. */
-export interface OwnAnswer {
+export interface RouterResponse {
   readonly status: number;
   readonly reason: string;
   /** Retry delay in milliseconds; set only if nothing ran. */
@@ -39,7 +39,7 @@
    */
   write(chunk: Uint8Array): boolean;
   end(): void;
-  refuse(response: OwnAnswer): void;
+  refuse(response: RouterResponse): void;
   /**
    * Resets the connection, so that the caller does not take a partial response for a complete one.
    */
--- a/src/coordination/gateway/request-admission.ts
+++ b/src/coordination/gateway/request-admission.ts
@@ -6,7 +6,7 @@
 import { RejectionReason } from '../../state/routing/rejection.js';
 import type { RouteTable } from '../../state/routing/route-table.js';
 import type { GatewayContext } from './gateway-context.js';
-import type { InboundRequest, OwnAnswer } from './reply.js';
+import type { InboundRequest, RouterResponse } from './reply.js';
 
 /** What the configuration grants to a request. */
 export interface Grant {
@@ -21,7 +21,7 @@
 /** Granted, denied permanently, or rejected with a retry delay. */
 export type RequestAdmission =
   | { readonly kind: 'granted'; readonly grant: Grant }
-  | { readonly kind: 'denied'; readonly response: OwnAnswer }
+  | { readonly kind: 'denied'; readonly response: RouterResponse }
   | { readonly kind: 'rejected'; readonly reason: RejectionReason; readonly priority: number };
 
 /** Priority of a request that was not matched to a route. */
@@ -61,6 +61,6 @@
   return { kind: 'rejected', reason, priority };
 }
 
-function denied(response: OwnAnswer): RequestAdmission {
+function denied(response: RouterResponse): RequestAdmission {
   return { kind: 'denied', response };
 }
--- a/src/coordination/gateway/request-call.ts
+++ b/src/coordination/gateway/request-call.ts
@@ -7,14 +7,14 @@
  * guarantees that nothing ran, is sent only while both are false.
  */
 import type { Timer } from '../../runtime/clock.js';
-import type { AnswerHead, ExchangeFailure } from '../../protocol/inference/port.js';
+import type { ResponseHead, ExchangeFailure } from '../../protocol/inference/port.js';
 import type { Service } from '../../state/routing/configuration.js';
 import { sharedTokensOf } from '../../state/routing/prompt-sources.js';
 import type { Placement, PlacementFailure } from '../../state/routing/placement.js';
 import { RejectionReason } from '../../state/routing/rejection.js';
 import { logFinish, logQuotaDenial, logSend, logSendFailure } from './call-log.js';
 import { recordFailedSend, rejectionReasonOf } from './failed-send.js';
-import { type ResponseMode, CallResponse } from './call-answer.js';
+import { type ResponseMode, CallResponse } from './call-response.js';
 import { CallCrashes } from './call-crashes.js';
 import { CallQuota } from './call-quota.js';
 import { CallState } from './call-state.js';
@@ -23,9 +23,9 @@
 import { belongsToPreviousIncarnation } from './previous-incarnation.js';
 import type { GatewayContext } from './gateway-context.js';
 import { type Grant, admitRequest, serviceOf } from './request-admission.js';
-import { REQUEST_CRASHES_ENGINES, REQUEST_EXCEEDS_LIMIT } from './final-answers.js';
+import { REQUEST_CRASHES_ENGINES, REQUEST_EXCEEDS_LIMIT } from './permanent-rejections.js';
 import type { QuotaDenial } from './quota/tenant-quotas.js';
-import type { InboundRequest, OwnAnswer, Reply } from './reply.js';
+import type { InboundRequest, RouterResponse, Reply } from './reply.js';
 import type { RejectionDetails } from './rejections.js';
 import { Send, type SendEvents, placeCall, sendOptionsOf, engineWaitMs } from './send.js';
 
@@ -78,7 +78,7 @@
     this.dispatch();
   }
 
-  onHead(send: Send, head: AnswerHead): void {
+  onHead(send: Send, head: ResponseHead): void {
     this.sendTimeouts.cancel();
     this.state = CallState.Answering;
     if (!head.isAttested) {
@@ -135,7 +135,7 @@
   }
 
   /** Ends the request because the router shuts down. */
-  endForStop(): void {
+  endForShutdown(): void {
     if (this.hasBegun) this.abort('stopping');
     else this.reject(RejectionReason.Stopping);
   }
@@ -245,12 +245,12 @@
     this.context.retryBudgets.of(service.name).noteRequest(this.now);
     const { generation } = this.request;
     if (!generation) return;
-    this.context.requestRate.note(generation.model, 1, this.now);
+    this.context.requestRate.record(generation.model, 1, this.now);
     const ownTokens = generation.promptTokens - sharedTokensOf(generation);
-    this.context.ownTokenRate.note(generation.model, ownTokens, this.now);
+    this.context.ownTokenRate.record(generation.model, ownTokens, this.now);
   }
 
-  private responseMode(head: AnswerHead): ResponseMode {
+  private responseMode(head: ResponseHead): ResponseMode {
     const { route } = this.grant as Grant;
     return { isStream: route.isStreaming && head.status < 300, isResumable: route.isResumable };
   }
@@ -339,7 +339,7 @@
   /**
    * Fails the send if only the previous incarnation of the restarted engine can have received it.
    */
-  breakFormerLife(restart: EngineRestart): void {
+  failSendToPreviousIncarnation(restart: EngineRestart): void {
     if (!this.send || this.state === CallState.Finished) return;
     const isAffected = belongsToPreviousIncarnation(this.send, restart, this.context.clock);
     if (isAffected) this.send.failAsDisconnected('engine-reborn');
@@ -378,7 +378,7 @@
   }
 
   /** Sends a permanent rejection, unless something may have run already. */
-  private deny(response: OwnAnswer): void {
+  private deny(response: RouterResponse): void {
     if (this.hasBegun) this.abort(response.reason);
     else if (this.mayHaveRun) this.refuse({ status: 502, reason: response.reason });
     else this.refuse(response);
@@ -393,7 +393,7 @@
     else this.refuse(REQUEST_CRASHES_ENGINES);
   }
 
-  private refuse(response: OwnAnswer): void {
+  private refuse(response: RouterResponse): void {
     if (response.status === 503) this.context.statistics.refused += 1;
     else this.context.statistics.failed += 1;
     this.reply.refuse(response);
--- a/src/coordination/gateway/answer-buffer.ts
+++ b/src/coordination/gateway/response-buffer.ts
@@ -2,7 +2,7 @@
  * Buffers a short response until it is complete, so that an interrupted one can be retried
  * unnoticed.
  */
-import type { AnswerHead } from '../../protocol/inference/port.js';
+import type { ResponseHead } from '../../protocol/inference/port.js';
 
 /** Longer responses are streamed through as they arrive. */
 const MAXIMUM_BUFFERED_BYTES = 262_144;
@@ -12,7 +12,7 @@
   readonly chunks: Uint8Array[] = [];
   private sizeBytes = 0;
 
-  constructor(readonly head: AnswerHead) {}
+  constructor(readonly head: ResponseHead) {}
 
   /** Appends a chunk; returns false once the response exceeds the buffer limit. */
   append(chunk: Uint8Array): boolean {
--- a/src/coordination/gateway/restored-entries.ts
+++ b/src/coordination/gateway/restored-entries.ts
@@ -55,7 +55,7 @@
 
   /** Whether an incarnation's entry is held back; otherwise the entry is used from now on. */
   holdsBack(entry: StoredObject, incarnation: string): boolean {
-    if (this.heldBack.get(entry.name)?.position.isSame(entry.position)) return true;
+    if (this.heldBack.get(entry.name)?.position.equals(entry.position)) return true;
     if (this.isRestored && this.removed.has(incarnation)) {
       this.holdBack(entry);
       return true;
--- a/src/coordination/gateway/rollout-report.ts
+++ b/src/coordination/gateway/rollout-report.ts
@@ -36,7 +36,7 @@
 
   private count(reason: RolloutReason): void {
     if (reason === RolloutReason.Waiting) this.statistics.rolloutWaits += 1;
-    if (reason === RolloutReason.Worth) this.statistics.rolloutsForWorth += 1;
+    if (reason === RolloutReason.Profitable) this.statistics.rolloutsForWorth += 1;
     if (reason === RolloutReason.Deadline) this.statistics.rolloutsForDeadline += 1;
   }
 }
--- a/src/coordination/gateway/run-start-deadline.ts
+++ b/src/coordination/gateway/run-start-deadline.ts
@@ -57,6 +57,6 @@
   private get remainingMs(): number {
     const { versions, clock } = this.parts;
     const nowMs = clock.now();
-    return (versions.lastBeginMs(this.model, this.version, nowMs) ?? Infinity) - nowMs;
+    return (versions.lastStartMs(this.model, this.version, nowMs) ?? Infinity) - nowMs;
   }
 }
--- a/src/coordination/gateway/load-share.ts
+++ b/src/coordination/gateway/send-load.ts
@@ -3,7 +3,7 @@
 import type { GenerationShape } from '../../state/routing/generation.js';
 
 /** Tracks the load of one send. */
-export class LoadShare {
+export class SendLoad {
   private unreadTokens: number;
   private readonly heldTokens: number;
   private isReleased = false;
--- a/src/coordination/gateway/send.ts
+++ b/src/coordination/gateway/send.ts
@@ -1,6 +1,6 @@
 /** One send of a request to one engine: placement, send options and load accounting. */
 import type {
-  AnswerHead,
+  ResponseHead,
   EngineNotice,
   Exchange,
   ExchangeFailure,
@@ -20,7 +20,7 @@
 import type { GatewayContext } from './gateway-context.js';
 import type { GenerationShape } from '../../state/routing/generation.js';
 import type { AnsweredRequest } from './engine-limit-discovery.js';
-import { LoadShare } from './load-share.js';
+import { SendLoad } from './send-load.js';
 import type { Grant } from './request-admission.js';
 import type { InboundRequest } from './reply.js';
 
@@ -53,7 +53,7 @@
       stores,
       storePressure: storePressureOf(request, stores, context),
       connectionShare,
-      turns: context.turnView(),
+      slotView: context.slotView(),
     },
     context,
     context.clock.now(),
@@ -67,7 +67,7 @@
 export function engineWaitMs(
   reason: PlacementFailure,
   service: Service,
-  { registry, health, clock, turnView }: GatewayContext,
+  { registry, health, clock, slotView: turnView }: GatewayContext,
 ): number | undefined {
   const isTemporary =
     reason === RejectionReason.EnginesBackingOff || reason === RejectionReason.EnginesLimited;
@@ -113,7 +113,7 @@
 
 /** Receives the events of one send until it is cancelled. */
 export interface SendEvents {
-  onHead(send: Send, head: AnswerHead): void;
+  onHead(send: Send, head: ResponseHead): void;
   onChunk(send: Send, chunk: Uint8Array): void;
   onEnd(send: Send): void;
   onFailure(send: Send, failure: ExchangeFailure): void;
@@ -122,7 +122,7 @@
 /** A send in progress. It emits no events after its end, failure or cancellation. */
 export class Send implements ExchangeListener {
   private readonly exchange: Exchange;
-  private readonly load: LoadShare;
+  private readonly load: SendLoad;
   private readonly runStartDeadline: RunStartDeadline | undefined;
   readonly sentMs: number;
   private headMs: number | undefined;
@@ -139,8 +139,8 @@
     private readonly context: GatewayContext,
   ) {
     const { id, name } = placement.engine.record;
-    context.health.limits.noteSend(name, context.turnView());
-    this.load = new LoadShare(context.loads, id, this.generation, placement.unreadTokens);
+    context.health.limits.noteSend(name, context.slotView());
+    this.load = new SendLoad(context.loads, id, this.generation, placement.unreadTokens);
     context.statistics.sends += 1;
     this.sentMs = context.clock.now();
     this.exchange = context.engines.send(placement.engine.record, request, options, this);
@@ -155,12 +155,12 @@
     applyEngineNotice(this.answeredRequest, notice, this.context);
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     if (this.isClosed) return;
     this.headMs = this.context.clock.now();
     // Only an attested response is certain to come from the engine. A limit that it names is
     // recorded already.
-    if (head.isAttested) this.context.limitNews.noteUnnamed(this.answeredRequest);
+    if (head.isAttested) this.context.limitDiscovery.recordNoLimit(this.answeredRequest);
     this.events.onHead(this, head);
   }
 
@@ -204,7 +204,7 @@
   }
 
   /** Monotonic time of the last data from the engine, or of the send if there was none. */
-  get lastSignMs(): number {
+  get lastActivityMs(): number {
     return this.lastChunkMs ?? this.headMs ?? this.sentMs;
   }
 
@@ -272,7 +272,7 @@
     context.rejections.noteEnd(generation.model, {
       expectedMs: placement.expectedMs,
       firstTokenMs: firstChunkMs - this.sentMs,
-      pieces: this.chunkCount,
+      chunkCount: this.chunkCount,
       outputTokens: generation.maximumOutputTokens,
     });
   }
@@ -292,6 +292,6 @@
     const { cacheSalt } = this.placement;
     const { generation } = this.request;
     if (cacheSalt === undefined || !generation) return;
-    this.context.kept.notePrompt(this.engineId, cacheSalt, generation.parts);
+    this.context.cachedPrefixes.recordPrompt(this.engineId, cacheSalt, generation.parts);
   }
 }
--- a/src/coordination/gateway/store-followers.ts
+++ b/src/coordination/gateway/store-followers.ts
@@ -13,7 +13,7 @@
   /** Handles a list; if omitted, `onObject` is called for each object. */
   onList?(objects: readonly StoredObject[], proven: ElapsedInstant): void;
   onObject(object: StoredObject, proven: ElapsedInstant, isRelayed: boolean): void;
-  onGone?(name: string, position: StorePosition): void;
+  onRemoved?(name: string, position: StorePosition): void;
   /** A response contained items without a readable key. */
   onUnnamed?(items: number, position: StorePosition): void;
   /** A call succeeded; the state was current at `proven`. */
@@ -83,17 +83,17 @@
           else for (const object of objects) handlers.onObject(object, proven, false);
         },
         onObject: (object, proven, isRelayed) => handlers.onObject(object, proven, isRelayed),
-        onGone: (name, position) => handlers.onGone?.(name, position),
+        onRemoved: (name, position) => handlers.onRemoved?.(name, position),
         onUnnamed: (items, position) => handlers.onUnnamed?.(items, position),
         onAnswer: (proven, isRelayed) => {
-          this.outages.noteAnswer(clock.now());
+          this.outages.recordResponse(clock.now());
           handlers.onAnswer?.(proven, isRelayed);
         },
         onFailure: () => {
-          this.outages.noteFailure(clock.now());
+          this.outages.recordFailure(clock.now());
           handlers.onFailure?.();
         },
-        onHistoryGone: () => this.refreshOthers(follower),
+        onHistoryLost: () => this.refreshOthers(follower),
         onRestored: (era) => {
           handlers.onRestored?.();
           for (const each of this.followers) void each.refreshIfBefore(era);
--- a/src/coordination/gateway/store-relay/object-mirror.ts
+++ b/src/coordination/gateway/store-relay/object-mirror.ts
@@ -116,6 +116,6 @@
   }
 
   private recordProof(proven: ElapsedInstant): void {
-    this.provenAt = this.provenAt.latest(proven);
+    this.provenAt = this.provenAt.later(proven);
   }
 }
--- a/src/coordination/gateway/store-relay/peer-queries.ts
+++ b/src/coordination/gateway/store-relay/peer-queries.ts
@@ -4,7 +4,7 @@
 import { StoreEra, type StorePosition } from '../../../runtime/store-position.js';
 import type { ObjectList, WatchResult } from '../../../protocol/object-store/port.js';
 import { ProtocolFailure } from '../../../protocol/errors.js';
-import type { RelayAnswer } from '../../../protocol/peer/relay-codec.js';
+import type { RelayResponse } from '../../../protocol/peer/relay-codec.js';
 import type { MemberUpdate } from '../../../state/membership.js';
 import type { RelayClient } from './relay-client.js';
 
@@ -90,7 +90,7 @@
   return new ProtocolFailure({ kind: 'interrupted', address: 'store', reason });
 }
 
-function toProvenList(response: RelayAnswer, queriedAt: ElapsedInstant): ProvenList {
+function toProvenList(response: RelayResponse, queriedAt: ElapsedInstant): ProvenList {
   const objects = response.events.map((event) => event.object);
   const { position, proofAgeMs } = response;
   // A router version without eras does not notice that the store was restored.
--- a/src/coordination/gateway/store-relay/relay-client.ts
+++ b/src/coordination/gateway/store-relay/relay-client.ts
@@ -4,7 +4,7 @@
 import type { FrameConnection, FrameTransport } from '../../../transport/frame-transport.js';
 import { ProtocolFailure } from '../../../protocol/errors.js';
 import {
-  type RelayAnswer,
+  type RelayResponse,
   decodeRelayFrame,
   encodeRelayQuery,
 } from '../../../protocol/peer/relay-codec.js';
@@ -14,7 +14,7 @@
 const IDLE_LIFETIME_MS = 15_000;
 
 interface PendingQuery {
-  readonly resolve: (response: RelayAnswer) => void;
+  readonly resolve: (response: RelayResponse) => void;
   readonly reject: (failure: ProtocolFailure) => void;
   readonly timer: Timer;
 }
@@ -40,7 +40,7 @@
     kind: string,
     position: StorePosition | undefined,
     waitMs: number,
-  ): Promise<RelayAnswer> {
+  ): Promise<RelayResponse> {
     this.closeIdleLinks();
     let link = this.links.get(address);
     if (!link || link.isClosed) {
@@ -86,7 +86,7 @@
     );
   }
 
-  query(kind: string, position: StorePosition | undefined, waitMs: number): Promise<RelayAnswer> {
+  query(kind: string, position: StorePosition | undefined, waitMs: number): Promise<RelayResponse> {
     this.lastUsedMs = this.clock.now();
     this.queries += 1;
     const number = this.queries;
--- a/src/coordination/gateway/store-relay/relay-server.ts
+++ b/src/coordination/gateway/store-relay/relay-server.ts
@@ -11,9 +11,9 @@
 import {
   type RelayQuery,
   decodeRelayFrame,
-  encodeRelayAnswer,
+  encodeRelayResponse,
 } from '../../../protocol/peer/relay-codec.js';
-import { ResponseEncoder } from './answer-changes.js';
+import { ResponseEncoder } from './response-encoder.js';
 import type { ObjectMirror } from './object-mirror.js';
 import type { ObjectMirrors } from './object-mirrors.js';
 
@@ -165,7 +165,7 @@
       proofAgeMs: mirror.proofAgeMs(now),
       heldMs: now.since(receivedAt),
     };
-    connection.send(encodeRelayAnswer(head, changes));
+    connection.send(encodeRelayResponse(head, changes));
   }
 
   private release(held: HeldQuery): void {
--- a/src/coordination/gateway/store-relay/relayed-object-store.ts
+++ b/src/coordination/gateway/store-relay/relayed-object-store.ts
@@ -45,7 +45,7 @@
    * Maximum age of a relayed proof. Must exceed two watches: a proof counts from the start of its
    * watch and is renewed at the end of the next one.
    */
-  readonly freshMs: number;
+  readonly maximumProofAgeMs: number;
 }
 
 /** Dependencies of {@link RelayedObjectStore}. */
@@ -97,7 +97,7 @@
   ) {
     const { client, group, clock } = parts;
     this.choice = new ReaderChoice(own, settings, group, clock);
-    this.peers = new PeerQueries(client, settings.freshMs, clock);
+    this.peers = new PeerQueries(client, settings.maximumProofAgeMs, clock);
     this.openedMs = clock.now();
   }
 
@@ -144,7 +144,7 @@
   }
 
   private recordEra(era: number): void {
-    this.parts.eras.note(era, this.now);
+    this.parts.eras.observe(era, this.now);
   }
 
   private recordEraOf<Result extends { readonly era: number }>(result: Result): Result {
--- a/src/coordination/gateway/weight-coordinator.ts
+++ b/src/coordination/gateway/weight-coordinator.ts
@@ -87,12 +87,12 @@
   }
 
   /** Announcements for the other routers. */
-  get news(): WeightLoadAnnouncement[] {
+  get loadAnnouncements(): WeightLoadAnnouncement[] {
     return this.loadCommands.announcements;
   }
 
   /** Applies an announcement of another router. */
-  receiveNews(announcement: WeightLoadAnnouncement): void {
+  receiveAnnouncement(announcement: WeightLoadAnnouncement): void {
     const { registry, incarnations } = this.parts;
     if (!registry.find(announcement.engineId))
       incarnations.observeIncarnation(announcement.engineId);
@@ -100,12 +100,12 @@
     if (!engine) return;
     if (announcement.isLoading) {
       this.parts.health.noteLoading(announcement.engineId, this.now - announcement.ageMs);
-      this.succession.noteOrder(this.now);
+      this.succession.recordPeerCommand(this.now);
     } else this.loadCommands.noteVersion(engine, announcement.model, announcement.version);
   }
 
   /** Drops the load commands of an incarnation that has ended. */
-  forgetLife(engineId: string): void {
+  forgetIncarnation(engineId: string): void {
     this.loadCommands.forgetIncarnation(engineId);
   }
 
@@ -117,7 +117,7 @@
   /** Applies the announcement that another router holds the lease. */
   receiveLease(holder: string, position: StorePosition): void {
     this.parts.lease.observePosition(position);
-    this.succession.noteHolder(holder, position);
+    this.succession.recordLeaseHolder(holder, position);
   }
 
   private get now(): number {
@@ -166,7 +166,7 @@
     const { versions, registry } = this.parts;
     return versions.models.some((model) => {
       const newest = versions.newest(model) ?? 0;
-      return registry.hasHolderBefore(model, newest, (service) =>
+      return registry.hasOlderHolder(model, newest, (service) =>
         this.settings.isKnownService(service),
       );
     });
@@ -175,7 +175,7 @@
   /** Whether this router may start work that has been due since `behindSinceMs`. */
   private mayStart(behindSinceMs: number): boolean {
     if (this.parts.lease.heldPosition !== undefined) return true;
-    return this.now >= this.succession.beginsMs(behindSinceMs);
+    return this.now >= this.succession.earliestStartMs(behindSinceMs);
   }
 
   /**
@@ -184,7 +184,7 @@
    */
   private async readLeaseEarly(): Promise<void> {
     const { lease } = this.parts;
-    if (this.hasReadLeaseEarly || this.succession.routersBefore > 0) return;
+    if (this.hasReadLeaseEarly || this.succession.precedingRouterCount > 0) return;
     this.hasReadLeaseEarly = true;
     if (lease.isUnknown) await lease.advance();
   }
@@ -216,7 +216,7 @@
     // Most ticks have no plans, and the succession requires a sort of all routers.
     if (plans.length === 0) return;
     const mayReport =
-      this.parts.lease.heldPosition !== undefined || this.succession.routersBefore === 0;
+      this.parts.lease.heldPosition !== undefined || this.succession.precedingRouterCount === 0;
     if (!mayReport) return;
     for (const plan of plans) this.report.recordDecision(plan, this.observe(plan.model));
   }
@@ -225,7 +225,7 @@
     const { versions, requestRate } = this.parts;
     const requestsPerSecond =
       requestRate.perSecond(model, this.now) / this.settings.shareOfTraffic();
-    const namesPerSecond = versions.namesPerSecond(model, NAMES_SPAN_MS, this.now);
+    const namesPerSecond = versions.publicationsPerSecond(model, NAMES_SPAN_MS, this.now);
     return { requestsPerSecond, namesPerSecond };
   }
 }
--- a/src/coordination/gateway/weight-version-discovery.ts
+++ b/src/coordination/gateway/weight-version-discovery.ts
@@ -71,7 +71,7 @@
   ) {}
 
   /** Applies the store's list, which doesn't state when its versions were named. */
-  takeList(objects: readonly StoredObject[]): void {
+  applyList(objects: readonly StoredObject[]): void {
     const ageMs = this.hasList ? this.missedAgeMs : this.ageBeforeStartMs;
     this.hasList = true;
     for (const object of objects) this.applyObject(object, 'list', ageMs);
@@ -83,7 +83,7 @@
    * (whose own call may have failed). Dating such a change by its arrival would underestimate its
    * age. Routers that observed the naming announce its time.
    */
-  takeChange(object: StoredObject, isRelayed: boolean): void {
+  applyChange(object: StoredObject, isRelayed: boolean): void {
     if (this.responses < RESPONSES_UNTIL_FOLLOWED) {
       this.applyObject(object, 'list', this.ageBeforeStartMs);
       return;
@@ -98,15 +98,15 @@
    * @param proven time for which the store is proven to have had nothing newer; `never` for a list
    *   that may be stale
    */
-  noteAnswer(proven: ElapsedInstant, isRelayed: boolean): void {
+  recordResponse(proven: ElapsedInstant, isRelayed: boolean): void {
     this.responses += 1;
     this.failingSinceMs = undefined;
     const isProof = proven !== ElapsedInstant.never;
     this.hasDirectResponse = isProof && !isRelayed;
     if (!isProof) return;
     const respondedAt = this.parts.clock.elapsed().plus(-RESPONSE_TRANSIT_MS);
-    this.provenCurrentAt = this.provenCurrentAt.latest(
-      isRelayed ? proven : proven.latest(respondedAt),
+    this.provenCurrentAt = this.provenCurrentAt.later(
+      isRelayed ? proven : proven.later(respondedAt),
     );
   }
 
@@ -122,11 +122,11 @@
   }
 
   /** Versions to announce to the other routers. */
-  get notices(): WeightVersionAnnouncement[] {
+  get versionAnnouncements(): WeightVersionAnnouncement[] {
     const { versions, clock } = this.parts;
     const nowMs = clock.now();
     return versions.models.flatMap((model) =>
-      versions.witnessedSince(model, nowMs - ANNOUNCED_FOR_MS).map(({ version, namedMs }) => ({
+      versions.observedSince(model, nowMs - ANNOUNCED_FOR_MS).map(({ version, namedMs }) => ({
         model,
         version,
         ageMs: Math.max(0, Math.round(nowMs - namedMs)),
@@ -158,7 +158,7 @@
   private record(model: string, version: number, origin: VersionOrigin, ageMs: number): boolean {
     const { versions, clock, logger } = this.parts;
     const namedMs = clock.now() - ageMs;
-    const isNew = versions.note(model, { version, namedMs, isWitnessed: origin !== 'list' });
+    const isNew = versions.record(model, { version, namedMs, isWitnessed: origin !== 'list' });
     if (isNew) {
       const known_after_ms = Math.round(ageMs);
       logger.info('weights_named', { model, version, origin, known_after_ms });
--- a/src/coordination/router/call-server.ts
+++ b/src/coordination/router/call-server.ts
@@ -93,7 +93,7 @@
   private findGenerationRejection(start: StartCall): CallFailure | undefined {
     const model = start.generation?.model ?? '';
     if (this.context.configuration.allowedModel(start.tenant, model)) return undefined;
-    if (this.context.configuration.knowsModel(model)) {
+    if (this.context.configuration.hasModel(model)) {
       return { kind: 'forbidden', message: `the tenant may not use model "${model}"` };
     }
     return { kind: 'invalid', message: `no model named "${model}"` };
--- a/src/coordination/router/engine-ownership.ts
+++ b/src/coordination/router/engine-ownership.ts
@@ -113,11 +113,11 @@
   applyUpdate(update: DirectoryUpdate): void {
     const nowMs = this.clock.now();
     const incarnation = Number(update.incarnation);
-    this.directory.setDoubted(update.engineId, update.doubted);
+    this.directory.setFeedGap(update.engineId, update.doubted);
     const { waitingTokens, requests } = update;
     this.engines.get(update.engineId)?.mergeLoad(waitingTokens, requests);
     for (const { mark, present } of update.marks) {
-      this.directory.hear(update.engineId, incarnation, mark, present, nowMs);
+      this.directory.recordMark(update.engineId, incarnation, mark, present, nowMs);
     }
   }
 
--- a/src/coordination/router/engine-selector.ts
+++ b/src/coordination/router/engine-selector.ts
@@ -47,7 +47,7 @@
 
   /** Each site's share of the tenant's recent requests. */
   recentShares(tenant: string): Map<string, number> {
-    return this.sharesOf(tenant).met(this.clock.now());
+    return this.sharesOf(tenant).achievedShares(this.clock.now());
   }
 
   private chooseAt(
@@ -75,7 +75,7 @@
     const { machine, breaker } = chosen.record;
     breaker.onSent(nowMs);
     const promptTokens = tokensOfBytes(placement.promptBytes);
-    chosen.record.addUnreported(Math.max(0, promptTokens - chosen.keptTokens));
+    chosen.record.addUnreportedTokens(Math.max(0, promptTokens - chosen.cachedTokens));
     this.sharesOf(placement.tenant).record(machine.site, nowMs);
     this.directory.assume(machine.engineId, placement.marks, nowMs);
   }
--- a/src/coordination/router/generation-call.ts
+++ b/src/coordination/router/generation-call.ts
@@ -29,7 +29,7 @@
 import type { CallEnded, RouterCall } from './call.js';
 import type { CallOutput } from './call-output.js';
 import type { RouterContext } from './router-context.js';
-import { FIRST_TOKEN_TIMEOUT_MS, STALL_TIMEOUT_MS, StallDetector } from './stall-watch.js';
+import { FIRST_TOKEN_TIMEOUT_MS, STALL_TIMEOUT_MS, StallDetector } from './stall-detector.js';
 import { TokenRelay } from './token-relay.js';
 
 /** Maximum number of dispatches of one request by one router. */
--- a/src/coordination/router/gossip-service.ts
+++ b/src/coordination/router/gossip-service.ts
@@ -103,7 +103,7 @@
 
   /** Queues an engine report for the next datagrams and schedules an announcement. */
   announceEngineReport(report: EngineReport): void {
-    this.engineReports.put(report.engineId, report, this.membership.spreadCount);
+    this.engineReports.put(report.engineId, report, this.membership.transmissionCount);
     this.scheduleAnnouncement();
   }
 
--- a/src/coordination/router/operation-call.ts
+++ b/src/coordination/router/operation-call.ts
@@ -4,7 +4,7 @@
  */
 import { type Timer, sleep } from '../../runtime/clock.js';
 import {
-  type BackendAnswer,
+  type BackendResponse,
   FENCED_REASON,
   SECOND_IDENTIFIER_SUFFIX,
   type InvocationResult,
@@ -176,7 +176,7 @@
       }
       if (result.kind === 'interrupted' || result.reason === FENCED_REASON) {
         // The router that fenced the identifier may run the request under its second one.
-        if (result.kind !== 'interrupted') this.ledger.doubtEarlier();
+        if (result.kind !== 'interrupted') this.ledger.markEarlierUnproven();
         await this.resolveByLookup();
         return;
       }
@@ -281,7 +281,7 @@
     return this.context.retryBudgetOf(this.start.tenant).trySpend();
   }
 
-  private succeed(answer: BackendAnswer): void {
+  private succeed(answer: BackendResponse): void {
     this.ledger.apply(RequestEvent.Finish);
     this.context.statistics.finished += 1;
     this.output.finishedOperation(answer.status, answer.body);
--- a/src/coordination/router/platform-reader.ts
+++ b/src/coordination/router/platform-reader.ts
@@ -13,7 +13,7 @@
 import { splitTemplateSet } from '../../state/template-sections.js';
 import { checkTemplateSet } from '../../state/template-set.js';
 import { MACHINES_DOCUMENT, TEMPLATES_DOCUMENT } from '../shared/configuration.js';
-import type { DocumentReplicator } from '../shared/document-spreader.js';
+import type { DocumentReplicator } from '../shared/document-replicator.js';
 
 /** Name of the object that contains models, services, templates and tenants. */
 export const TEMPLATES_OBJECT = 'templates';
--- a/src/coordination/router/router-node.ts
+++ b/src/coordination/router/router-node.ts
@@ -12,7 +12,7 @@
   HASHER,
   LOGGER,
   RANDOM,
-} from '../../runtime/tokens.js';
+} from '../../runtime/injection-tokens.js';
 import type { DatagramTransport } from '../../transport/datagram-transport.js';
 import type { FrameListener, FrameTransport } from '../../transport/frame-transport.js';
 import type { EnginePort } from '../../protocol/engine/port.js';
@@ -35,7 +35,7 @@
 import { PrefixDirectory } from '../../state/prefix-directory.js';
 import { RetryBudgets } from '../../state/retry-budget.js';
 import { Configuration, MACHINES_DOCUMENT, TEMPLATES_DOCUMENT } from '../shared/configuration.js';
-import { DocumentReplicator } from '../shared/document-spreader.js';
+import { DocumentReplicator } from '../shared/document-replicator.js';
 import { BackendTable } from './backend-table.js';
 import { CallServer } from './call-server.js';
 import { ClaimService } from './claim-service.js';
@@ -156,7 +156,7 @@
   }
 
   /** Whether a report of every engine of the machine list was received, directly or from a peer. */
-  get knowsAllEngines(): boolean {
+  get hasAllEngineReports(): boolean {
     return !this.ownership.hasUnknownEngines;
   }
 
--- a/src/coordination/shared/configuration.ts
+++ b/src/coordination/shared/configuration.ts
@@ -107,7 +107,7 @@
   }
 
   /** Whether a model of this name is configured. */
-  knowsModel(model: string): boolean {
+  hasModel(model: string): boolean {
     return this.templateSet?.models[model] !== undefined;
   }
 
--- a/src/edge/caller-api/generation-handler.ts
+++ b/src/edge/caller-api/generation-handler.ts
@@ -56,7 +56,7 @@
 
 function checkModel(agent: AgentNode, tenant: string, model: string): ApiError | undefined {
   if (agent.configuration.allowedModel(tenant, model)) return undefined;
-  if (agent.configuration.knowsModel(model)) {
+  if (agent.configuration.hasModel(model)) {
     return forbidden(`the key's tenant may not use model "${model}"`);
   }
   return notFound(`no model named "${model}"`);
--- a/src/edge/caller-api/request-context.ts
+++ b/src/edge/caller-api/request-context.ts
@@ -45,7 +45,7 @@
   if (idempotencyKey !== undefined && idempotencyKey.length > MAXIMUM_KEY_LENGTH) {
     return rejected(invalidRequest('idempotency-key: expected at most 255 characters'));
   }
-  const requestId = agent.mintRequestId();
+  const requestId = agent.createRequestId();
   return { kind: 'ok', context: { tenant, requestId, idempotencyKey, deadlineMs, priority } };
 }
 
--- a/src/lab/backend/backend-core.ts
+++ b/src/lab/backend/backend-core.ts
@@ -3,7 +3,7 @@
 import { HttpStatus } from '../../protocol/http-status.js';
 import { type Clock, sleep } from '../../runtime/clock.js';
 import {
-  type BackendAnswer,
+  type BackendResponse,
   type BackendInvocation,
   FENCED_REASON,
   SECOND_IDENTIFIER_SUFFIX,
@@ -19,14 +19,14 @@
 
 /** Result of an invocation inside the back end. */
 export type RunResult =
-  | { readonly kind: 'answered'; readonly answer: BackendAnswer }
+  | { readonly kind: 'answered'; readonly answer: BackendResponse }
   | { readonly kind: 'refused'; readonly reason: string }
   | { readonly kind: 'lost' };
 
 /** State of requests shared by all machines of one service, as a database behind them would be. */
 export class BackendStore {
   private readonly fenced = new Set<string>();
-  private readonly answers = new Map<string, BackendAnswer>();
+  private readonly answers = new Map<string, BackendResponse>();
   /** Start of each run by identifier at the back end, in milliseconds. */
   private readonly runs = new Map<string, number[]>();
 
@@ -54,7 +54,7 @@
     return [...(this.runs.get(requestId) ?? []), ...(this.runs.get(second) ?? [])];
   }
 
-  finish(requestId: string, answer: BackendAnswer): void {
+  finish(requestId: string, answer: BackendResponse): void {
     this.answers.set(requestId, answer);
   }
 
--- a/src/lab/experiment/peatspan-policy.ts
+++ b/src/lab/experiment/peatspan-policy.ts
@@ -71,7 +71,7 @@
     const chosen = choice?.chosen;
     const engineId = chosen?.record.machine.engineId;
     if (chosen) {
-      chosen.record.addUnreported(promptTokens - chosen.keptTokens);
+      chosen.record.addUnreportedTokens(promptTokens - chosen.cachedTokens);
       directory.assume(chosen.record.machine.engineId, request.marks, nowMs);
     }
     return (engines.find((core) => core.settings.engineId === engineId) ??
@@ -131,7 +131,7 @@
     if (!change) return;
     const { directory } = this.homeOf(change.root);
     const { engineId } = core.settings;
-    directory.hear(engineId, core.currentIncarnation, change.mark, change.present, nowMs);
+    directory.recordMark(engineId, core.currentIncarnation, change.mark, change.present, nowMs);
   }
 
   private homeOf(root: bigint): Home {
--- a/src/lab/gateway-simulation/gateway-oracle.ts
+++ b/src/lab/gateway-simulation/gateway-oracle.ts
@@ -101,11 +101,11 @@
 /** At the end of a run, each engine has the newest published weights. */
 function judgeWeights(simulation: GatewaySimulation): RuleBreach[] {
   const behind = simulation.fleet.generationEngines.filter(
-    (engine) => engine.weightsVersion < simulation.namedVersion,
+    (engine) => engine.weightsVersion < simulation.publishedVersion,
   );
   return behind.map((engine) => ({
     rule: 'weights-in-force' as const,
-    detail: `${engine.id} has ${engine.weightsVersion} of ${simulation.namedVersion}`,
+    detail: `${engine.id} has ${engine.weightsVersion} of ${simulation.publishedVersion}`,
   }));
 }
 
@@ -255,7 +255,7 @@
  * incarnation that has not received a token yet.
  */
 function judgeLoadCommands(simulation: GatewaySimulation): RuleBreach[] {
-  const commands = [...simulation.observations.orders].sort((a, b) => a.sentMs - b.sentMs);
+  const commands = [...simulation.observations.loadCommands].sort((a, b) => a.sentMs - b.sentMs);
   return commands.slice(1).flatMap((command, index) => {
     const before = commands[index] as (typeof commands)[number];
     if (before.holder === command.holder) return [];
--- a/src/lab/gateway-simulation/gateway-simulation.ts
+++ b/src/lab/gateway-simulation/gateway-simulation.ts
@@ -2,7 +2,7 @@
 import { GatewayNode } from '../../coordination/gateway/gateway-node.js';
 import type { TenantLimit } from '../../state/routing/quota/tenant-limit.js';
 import { type Hasher, createHasher } from '../../runtime/hasher.js';
-import { SilentLogger } from '../../runtime/logger.js';
+import { NoopLogger } from '../../runtime/logger.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { VirtualClock } from '../../runtime/virtual-clock.js';
 import { HostClock } from '../simulation/host-clock.js';
@@ -202,9 +202,9 @@
     this.writeConfiguration();
   }
 
-  nameWeights(): void {
+  publishWeights(): void {
     if (this.store.isDown) return;
-    const version = this.namedVersion + 1;
+    const version = this.publishedVersion + 1;
     this.operator.write(KINDS.weightVersions, SIMULATION_MODEL, {
       model: SIMULATION_MODEL,
       version,
@@ -243,7 +243,7 @@
   }
 
   /** Newest published version of the weights. */
-  get namedVersion(): number {
+  get publishedVersion(): number {
     return (this.operator.latestSpec(KINDS.weightVersions, SIMULATION_MODEL) as { version: number })
       .version;
   }
@@ -292,7 +292,7 @@
   }
 
   /** Stops the store and expires all engine entries; running engines write theirs again. */
-  lapseEntries(forMs: number, rewriteDelayMs: number): void {
+  expireEntries(forMs: number, rewriteDelayMs: number): void {
     this.stopStore(forMs);
     const entries = this.store.all(KINDS.engines);
     for (const entry of entries) this.store.remove(KINDS.engines, entry.name);
@@ -323,7 +323,7 @@
     this.network.heal();
     this.store.writeFaults.length = 0;
     this.store.listDelaysMs.length = 0;
-    this.fleet.orderFaults.length = 0;
+    this.fleet.loadCommandFaults.length = 0;
     this.fleet.heal();
     for (const { host } of this.routers.values()) {
       host.unpause();
@@ -375,7 +375,7 @@
         clock: host,
         random,
         hasher: this.hasher,
-        logger: new SilentLogger(),
+        logger: new NoopLogger(),
         datagrams: this.mutation.datagrams?.(datagrams) ?? datagrams,
         frames: new SimulatedFrameTransport(this.sockets, name, host),
         store: new SimulatedStorePort(this.store, name, host, seesEras),
--- a/src/lab/gateway-simulation/recorded-reply.ts
+++ b/src/lab/gateway-simulation/recorded-reply.ts
@@ -1,5 +1,5 @@
 /** Caller's side of a request: records the response and how it ended. */
-import type { OwnAnswer, Reply } from '../../coordination/gateway/reply.js';
+import type { RouterResponse, Reply } from '../../coordination/gateway/reply.js';
 
 /** How a response ended for the caller. */
 export type ReplyEnd = 'whole' | 'refused' | 'aborted' | 'left';
@@ -7,7 +7,7 @@
 /** Records one response. */
 export class RecordedReply implements Reply {
   status: number | undefined;
-  own: OwnAnswer | undefined;
+  own: RouterResponse | undefined;
   ending: ReplyEnd | undefined;
   body = '';
   private closeListener: () => void = () => undefined;
@@ -25,7 +25,7 @@
     this.ending = 'whole';
   }
 
-  refuse(answer: OwnAnswer): void {
+  refuse(answer: RouterResponse): void {
     this.status = answer.status;
     this.own = answer;
     this.ending = 'refused';
--- a/src/lab/gateway-simulation/simulated-engine.ts
+++ b/src/lab/gateway-simulation/simulated-engine.ts
@@ -4,7 +4,7 @@
 
 /** How an engine handles requests. */
 export enum EngineMode {
-  Sound = 'sound',
+  Healthy = 'sound',
   /** Rejects requests with an error response. */
   Busy = 'busy',
   /** Runs the request and responds with an error. */
@@ -62,7 +62,7 @@
 /** A request that runs on an engine. */
 export interface RunningRequest {
   /** Breaks the connection at the engine's side. */
-  breakOff(): void;
+  disconnect(): void;
   /** Ends the run at the engine without notifying the router. */
   abandon(): void;
 }
@@ -78,13 +78,13 @@
 
 /** One incarnation of a simulated engine. */
 export class SimulatedEngine {
-  mode = EngineMode.Sound;
+  mode = EngineMode.Healthy;
   isRunning = true;
   commandSequence = 0;
   highestToken = 0;
   isLoading = false;
   /** Whether it accepts load commands; otherwise they time out without effect. */
-  takesOrders = true;
+  acceptsLoadCommands = true;
   /** Time in the engine's queue before a request starts, in milliseconds. */
   queueMs = 0;
   /** Whether the engine is draining, which all its responses then state. */
@@ -99,15 +99,15 @@
   private version = 1;
   private replacedVersion = 1;
 
-  /** @param bornMs start time in Unix milliseconds, by the engine's own clock */
+  /** @param startedAtMs start time in Unix milliseconds, by the engine's own clock */
   constructor(
     readonly identity: EngineIdentity,
-    readonly bornMs: number,
+    readonly startedAtMs: number,
   ) {}
 
   /** Identifier of this incarnation. */
   get id(): string {
-    return incarnationOf(this.identity.name, this.bornMs);
+    return incarnationOf(this.identity.name, this.startedAtMs);
   }
 
   get name(): string {
@@ -151,7 +151,7 @@
   /** Stops at once and breaks the connections of running requests. */
   crash(): void {
     this.isRunning = false;
-    for (const exchange of [...this.running]) exchange.breakOff();
+    for (const exchange of [...this.running]) exchange.disconnect();
   }
 
   /** Stops during a network partition. Returns the requests that fail when the partition ends. */
@@ -199,7 +199,7 @@
 /** Observations of all engines, for the oracle. */
 export class EngineObservations {
   readonly runs: ObservedRun[] = [];
-  readonly orders: ObservedLoadCommand[] = [];
+  readonly loadCommands: ObservedLoadCommand[] = [];
   readonly crashes: ObservedCrash[] = [];
   readonly malformedUses: ObservedMalformedUse[] = [];
   readonly arrivals: ObservedArrival[] = [];
--- a/src/lab/gateway-simulation/simulated-exchange.ts
+++ b/src/lab/gateway-simulation/simulated-exchange.ts
@@ -1,6 +1,6 @@
 /** Simulated exchange of one request between a router and an engine. */
 import type {
-  AnswerHead,
+  ResponseHead,
   EngineNotice,
   Exchange,
   ExchangeFailure,
@@ -86,7 +86,7 @@
         this.schedule(EVENT_INTERVAL_MS, () => this.respondWithFailure());
         return;
       case EngineMode.ResponseLost:
-        this.schedule(EVENT_INTERVAL_MS, () => this.breakOff());
+        this.schedule(EVENT_INTERVAL_MS, () => this.disconnect());
         return;
       case EngineMode.Hanging:
         return;
@@ -117,7 +117,7 @@
   }
 
   /** The connection breaks at the engine's side. */
-  breakOff(): void {
+  disconnect(): void {
     this.leaveEngine();
     this.fail(this.hasResponded ? 'cut' : 'unknown');
   }
@@ -164,7 +164,7 @@
     const sent = isCut ? body.slice(0, -1) : body;
     this.deliver(() => this.listener.onChunk(Buffer.from(sent)));
     if (isCut) {
-      this.breakOff();
+      this.disconnect();
       return;
     }
     this.leaveEngine();
@@ -182,7 +182,7 @@
     const CUT_EVENT = 3;
     if (isCut && index >= CUT_EVENT) {
       this.deliver(() => this.listener.onChunk(Buffer.from(text.slice(0, text.length / 2))));
-      this.breakOff();
+      this.disconnect();
       return;
     }
     this.deliver(() => this.listener.onChunk(Buffer.from(text)));
@@ -227,6 +227,6 @@
   return `id: ${index}\ndata: ${requestId}/${index}\n\n`;
 }
 
-function headOf(status: number): AnswerHead {
+function headOf(status: number): ResponseHead {
   return { status, headers: [], contentLength: undefined, isAttested: true };
 }
--- a/src/lab/gateway-simulation/simulated-fleet.ts
+++ b/src/lab/gateway-simulation/simulated-fleet.ts
@@ -25,7 +25,7 @@
 }
 
 /** Fault of a load command. */
-export enum OrderFault {
+export enum LoadCommandFault {
   /** The command is applied, but the response is lost. */
   ResponseLost = 'answer-lost',
   /** The command times out and arrives seconds later, possibly at a later incarnation. */
@@ -56,7 +56,7 @@
   /** Whether a crashed engine restarts under its name; otherwise a new engine replaces it. */
   restartsUnderName = false;
   /** Faults of the next load commands. */
-  readonly orderFaults: OrderFault[] = [];
+  readonly loadCommandFaults: LoadCommandFault[] = [];
   /** All incarnations of all engines, in order of start. */
   private readonly incarnations: SimulatedEngine[] = [];
   private readonly names: string[] = [];
@@ -88,9 +88,9 @@
   }
 
   /** Whether the incarnation of an entry is running. */
-  isIncarnationRunning({ name, bornMs }: StoredEngine): boolean {
+  isIncarnationRunning({ name, startedAtMs }: StoredEngine): boolean {
     const incarnation = this.latestIncarnation(name);
-    return incarnation?.isRunning === true && incarnation.bornMs === bornMs;
+    return incarnation?.isRunning === true && incarnation.startedAtMs === startedAtMs;
   }
 
   /** Whether the name is that of a malformed entry without an engine. */
@@ -144,11 +144,11 @@
     const engine = this.engine(index);
     const listed = this.store.get(KINDS.engines, engine.name)?.spec as StoredEngine | null;
     if (!listed || this.store.isDown) return;
-    this.leave(index);
+    this.announceShutdown(index);
   }
 
   /** Drains an engine. Its responses state this at once, its entry once the store is available. */
-  leave(index: number): void {
+  announceShutdown(index: number): void {
     const engine = this.engine(index);
     if (!engine.isRunning || engine.isDraining) return;
     engine.isDraining = true;
@@ -156,7 +156,7 @@
   }
 
   /** Writes a malformed entry under a name that no engine has. */
-  addOddEntry(fault: MalformedEntry): void {
+  addMalformedEntry(fault: MalformedEntry): void {
     const name = `odd-${this.malformedEntryNames.size + 1}`;
     this.malformedEntryNames.add(name);
     const identity = { ...this.engine(0).identity, name, address: `${name}:1` };
@@ -202,11 +202,13 @@
 
   private start(identity: EngineIdentity, version: number, clockStepMs: number): SimulatedEngine {
     const usedStartTimes = new Set(
-      this.incarnations.filter(({ name }) => name === identity.name).map(({ bornMs }) => bornMs),
+      this.incarnations
+        .filter(({ name }) => name === identity.name)
+        .map(({ startedAtMs }) => startedAtMs),
     );
-    let bornMs = this.wallMs - clockStepMs;
-    while (usedStartTimes.has(bornMs)) bornMs += 1;
-    const engine = new SimulatedEngine(identity, bornMs);
+    let startedAtMs = this.wallMs - clockStepMs;
+    while (usedStartTimes.has(startedAtMs)) startedAtMs += 1;
+    const engine = new SimulatedEngine(identity, startedAtMs);
     engine.weightsVersion = version;
     engine.onCrashed = () => this.restartCrashed(engine);
     this.incarnations.push(engine);
@@ -284,15 +286,15 @@
   private endPartition(address: string): void {
     const pending = this.partitions.get(address) ?? new Set<RunningRequest>();
     this.partitions.delete(address);
-    for (const request of pending) request.breakOff();
+    for (const request of pending) request.disconnect();
   }
 }
 
 function entryOf(engine: SimulatedEngine): StoredEngine {
-  const { name, bornMs, service, address, model, isDraining, weightsVersion } = engine;
+  const { name, startedAtMs, service, address, model, isDraining, weightsVersion } = engine;
   return {
     name,
-    bornMs,
+    startedAtMs,
     service,
     address,
     zone: 'zone-a',
--- a/src/lab/gateway-simulation/simulated-inference.ts
+++ b/src/lab/gateway-simulation/simulated-inference.ts
@@ -8,9 +8,9 @@
   type ForwardedRequest,
   type InferencePort,
   ListenerState,
-  type OrderResult,
+  type LoadCommandResult,
   type SendOptions,
-  type WeightOrder,
+  type LoadCommandRequest,
   type WeightState,
 } from '../../protocol/inference/port.js';
 import type { Clock } from '../../runtime/clock.js';
@@ -22,14 +22,14 @@
   type SimulatedEngine,
 } from './simulated-engine.js';
 import { SimulatedExchange, NETWORK_DELAY_MS } from './simulated-exchange.js';
-import { OrderFault, type SimulatedFleet } from './simulated-fleet.js';
+import { LoadCommandFault, type SimulatedFleet } from './simulated-fleet.js';
 import { CRASHING_BODY } from './simulation-fixtures.js';
 
 const LOAD_MS = 300;
 const REPORT_TIMEOUT_MS = 400;
 /** Delay of a load command that the network holds back. */
 const LATE_COMMAND_MS = 2_500;
-const NO_RESPONSE: OrderResult = { kind: 'unknown', reason: 'silent' };
+const NO_RESPONSE: LoadCommandResult = { kind: 'unknown', reason: 'silent' };
 
 /** Inference port of one router. */
 export class SimulatedInference implements InferencePort {
@@ -58,18 +58,21 @@
 
   checkListener({ address }: EngineEndpoint): Promise<ListenerState> {
     return this.respond(() => {
-      if (this.fleet.partitionAt(address)) return ListenerState.Silent;
+      if (this.fleet.partitionAt(address)) return ListenerState.Unresponsive;
       const isRunning = this.fleet.latestAt(address)?.isRunning ?? false;
       return isRunning ? ListenerState.Listening : ListenerState.Refused;
-    }, ListenerState.Silent);
+    }, ListenerState.Unresponsive);
   }
 
-  order(endpoint: EngineEndpoint, command: WeightOrder): Promise<OrderResult> {
+  sendLoadCommand(
+    endpoint: EngineEndpoint,
+    command: LoadCommandRequest,
+  ): Promise<LoadCommandResult> {
     this.recordMalformedUse(endpoint);
     const sentMs = this.clock.now();
-    const fault = this.fleet.orderFaults.shift();
+    const fault = this.fleet.loadCommandFaults.shift();
     return this.respond(() => {
-      if (fault === OrderFault.Late) {
+      if (fault === LoadCommandFault.Late) {
         this.clock.setTimer(LATE_COMMAND_MS, () =>
           this.applyLoadCommand(endpoint, command, sentMs),
         );
@@ -77,17 +80,17 @@
       }
       if (this.fleet.partitionAt(endpoint.address)) return NO_RESPONSE;
       const result = this.applyLoadCommand(endpoint, command, sentMs);
-      return fault === OrderFault.ResponseLost ? NO_RESPONSE : result;
+      return fault === LoadCommandFault.ResponseLost ? NO_RESPONSE : result;
     }, NO_RESPONSE);
   }
 
-  weightState(endpoint: EngineEndpoint): Promise<WeightState | undefined> {
+  readWeightState(endpoint: EngineEndpoint): Promise<WeightState | undefined> {
     return this.respond(() => {
       if (this.fleet.partitionAt(endpoint.address)) return undefined;
       const engine = this.engineOf(endpoint);
       return (
         engine && {
-          bornMs: engine.bornMs,
+          startedAtMs: engine.startedAtMs,
           version: engine.weightsVersion,
           isBusy: engine.isLoading,
           orderSequence: engine.commandSequence,
@@ -100,16 +103,16 @@
     return new Promise((resolve) => {
       this.clock.setTimer(waitMs, () =>
         this.host.deliver(() => {
-          const bornMs = this.fleet.latestAt(address)?.bornMs;
-          resolve({ bornMs, epoch: bornMs ?? 1, next: since, hasGap: false, events: [] });
+          const startedAtMs = this.fleet.latestAt(address)?.startedAtMs;
+          resolve({ startedAtMs, epoch: startedAtMs ?? 1, next: since, hasGap: false, events: [] });
         }),
       );
     });
   }
 
   cacheContents(address: string): Promise<CacheContents> {
-    const bornMs = this.fleet.latestAt(address)?.bornMs;
-    return Promise.resolve({ bornMs, epoch: bornMs ?? 1, next: 0, held: [] });
+    const startedAtMs = this.fleet.latestAt(address)?.startedAtMs;
+    return Promise.resolve({ startedAtMs, epoch: startedAtMs ?? 1, next: 0, held: [] });
   }
 
   retain(): void {
@@ -213,22 +216,22 @@
 
   private applyLoadCommand(
     endpoint: EngineEndpoint,
-    command: WeightOrder,
+    command: LoadCommandRequest,
     sentMs: number,
-  ): OrderResult {
+  ): LoadCommandResult {
     const engine = this.engineOf(endpoint);
-    if (!engine?.takesOrders) return NO_RESPONSE;
-    const { bornMs } = engine;
+    if (!engine?.acceptsLoadCommands) return NO_RESPONSE;
+    const { startedAtMs } = engine;
     if (command.fencingToken < engine.highestToken)
-      return { kind: 'rejected', status: 412, bornMs };
+      return { kind: 'rejected', status: 412, startedAtMs };
     engine.highestToken = command.fencingToken;
     if (engine.isLoading || command.expectedSequence !== engine.commandSequence) {
-      return { kind: 'rejected', status: 409, bornMs };
+      return { kind: 'rejected', status: 409, startedAtMs };
     }
-    if (engine.weightsVersion >= command.version) return { kind: 'already-done', bornMs };
+    if (engine.weightsVersion >= command.version) return { kind: 'already-done', startedAtMs };
     engine.commandSequence += 1;
     engine.isLoading = true;
-    this.observations.orders.push({
+    this.observations.loadCommands.push({
       engineId: engine.id,
       holder: command.holder,
       token: command.fencingToken,
@@ -238,7 +241,7 @@
       engine.isLoading = false;
       engine.weightsVersion = command.version;
     });
-    return { kind: 'accepted', bornMs };
+    return { kind: 'accepted', startedAtMs };
   }
 
   /** Running incarnation at the endpoint's address, if the engine's name matches. */
--- a/src/lab/gateway-simulation/simulation-fixtures.ts
+++ b/src/lab/gateway-simulation/simulation-fixtures.ts
@@ -75,7 +75,7 @@
       routersPerReader: 2,
       minimumReaders: 1,
       watchMs: 600,
-      freshMs: 1_400,
+      maximumProofAgeMs: 1_400,
     },
     drainMs: SIMULATION_BOUNDS.drainMs,
     entryLifetimeMs: 3_600,
--- a/src/lab/gateway-simulation/stored-engine.ts
+++ b/src/lab/gateway-simulation/stored-engine.ts
@@ -14,7 +14,7 @@
   const fault = findFault(spec);
   if (fault !== undefined) return { kind: 'malformed', reason: fault };
   const { modelVersions, ...entry } = spec as StoredEngine;
-  const id = incarnationOf(entry.name, entry.bornMs);
+  const id = incarnationOf(entry.name, entry.startedAtMs);
   return { kind: 'value', value: { ...entry, id, modelVersions: new Map(modelVersions) } };
 }
 
--- a/src/lab/scale/scale-run.ts
+++ b/src/lab/scale/scale-run.ts
@@ -111,7 +111,7 @@
 }
 
 function isReady(scale: ScaleCluster): boolean {
-  return scale.live().every(({ node }) => node.isReady && node.knowsAllEngines);
+  return scale.live().every(({ node }) => node.isReady && node.hasAllEngineReports);
 }
 
 async function measureSteady(scale: ScaleCluster, seconds: number): Promise<SteadyFigures> {
--- a/src/lab/simulation/simulated-cluster.ts
+++ b/src/lab/simulation/simulated-cluster.ts
@@ -14,9 +14,9 @@
 } from '../../coordination/router/tokens.js';
 import type { EnginePort } from '../../protocol/engine/port.js';
 import type { Hasher } from '../../runtime/hasher.js';
-import { SilentLogger } from '../../runtime/logger.js';
+import { NoopLogger } from '../../runtime/logger.js';
 import { SeededRandom, randomInteger } from '../../runtime/random.js';
-import * as tokens from '../../runtime/tokens.js';
+import * as tokens from '../../runtime/injection-tokens.js';
 import { VirtualClock } from '../../runtime/virtual-clock.js';
 import { CLOCK_TOLERANCE_MS } from '../../state/claim-table.js';
 import type { TokenModel } from '../engine/token-model.js';
@@ -160,7 +160,7 @@
     container.register(tokens.CLOCK, { useValue: host });
     container.register(tokens.RANDOM, { useValue: new SeededRandom(seed) });
     container.register(tokens.HASHER, { useValue: this.hasher });
-    container.register(tokens.LOGGER, { useValue: new SilentLogger() });
+    container.register(tokens.LOGGER, { useValue: new NoopLogger() });
     container.register(tokens.FRAME_TRANSPORT, {
       useValue: new SimulatedFrameTransport(this.sockets, name, host),
     });
--- a/src/lab/simulation/world.ts
+++ b/src/lab/simulation/world.ts
@@ -232,7 +232,7 @@
       `branch ${branch} of them. `.repeat(BRANCH) +
       `question ${this.prompts}`;
     const prompt = new TextEncoder().encode(text);
-    const requestId = agent.node.mintRequestId();
+    const requestId = agent.node.createRequestId();
     const MINIMUM_TOKENS = 3;
     const TOKEN_RANGE = 60;
     this.submit(agent.node, {
@@ -262,7 +262,7 @@
     const isKeyed = key !== undefined && operation === 'hold';
     const requestId = isKeyed
       ? identifierForKey(tenant, operation, key)
-      : agent.node.mintRequestId();
+      : agent.node.createRequestId();
     this.submit(agent.node, {
       kind: 'operation',
       requestId,
--- a/src/operator/template-store.ts
+++ b/src/operator/template-store.ts
@@ -28,7 +28,7 @@
 export type WriteOutcome =
   | { readonly kind: 'written'; readonly version: number }
   /** The stored version is not the expected one; nothing was written. */
-  | { readonly kind: 'conflict'; readonly present: StoredTemplates }
+  | { readonly kind: 'conflict'; readonly current: StoredTemplates }
   /** The response was lost, and reading back did not show whether the write took effect. */
   | { readonly kind: 'uncertain'; readonly reason: string };
 
@@ -79,7 +79,7 @@
         if (current.operationId === operationId) {
           return { kind: 'written', version: current.version };
         }
-        if (current.version !== expectedVersion) return { kind: 'conflict', present: current };
+        if (current.version !== expectedVersion) return { kind: 'conflict', current };
         // The write may still be in transit; read again after a pause.
       } catch {
         // The store is unavailable; retry.
--- a/src/programs/agent-program.ts
+++ b/src/programs/agent-program.ts
@@ -5,7 +5,7 @@
 import type { Logger } from '../runtime/logger.js';
 import type { AgentProgramSettings } from '../settings/schemas.js';
 import { metricsOf, startOperationsServer } from '../telemetry/operations-server.js';
-import { createDaemonContainer } from './surroundings.js';
+import { createDaemonContainer } from './daemon-container.js';
 
 /** Time allowed for the caller API to finish running requests. */
 const DRAIN_TIMEOUT_MS = 60_000;
--- a/src/programs/surroundings.ts
+++ b/src/programs/daemon-container.ts
@@ -12,7 +12,7 @@
   HASHER,
   LOGGER,
   RANDOM,
-} from '../runtime/tokens.js';
+} from '../runtime/injection-tokens.js';
 import { TcpFrameTransport } from '../transport/tcp-frame-transport.js';
 import { UdpDatagramTransport } from '../transport/udp-datagram-transport.js';
 import { HttpEngineClient } from '../protocol/engine/http-client.js';
--- a/src/programs/lab-up.ts
+++ b/src/programs/lab-up.ts
@@ -18,7 +18,7 @@
   startBackend,
   startEngine,
   startPlatform,
-} from './stand-in-programs.js';
+} from './simulated-programs.js';
 
 const LOOPBACK = '127.0.0.1';
 const ANY_PORT = 0;
@@ -212,7 +212,7 @@
   const deadlineMs = performance.now() + READY_TIMEOUT_MS;
   const isReady = (): boolean =>
     routers.every(({ node }) => node.isReady && node.workingRouters.length === routers.length) &&
-    routers.every(({ node }) => node.knowsAllEngines) &&
+    routers.every(({ node }) => node.hasAllEngineReports) &&
     agents.every(({ node }) => node.isReady);
   while (!isReady()) {
     if (performance.now() > deadlineMs)
--- a/src/programs/router-program.ts
+++ b/src/programs/router-program.ts
@@ -4,7 +4,7 @@
 import type { Logger } from '../runtime/logger.js';
 import type { RouterProgramSettings } from '../settings/schemas.js';
 import { type Metric, metricsOf, startOperationsServer } from '../telemetry/operations-server.js';
-import { addRouterPorts, createDaemonContainer } from './surroundings.js';
+import { addRouterPorts, createDaemonContainer } from './daemon-container.js';
 
 /** A running router. */
 export interface RunningRouter {
--- a/src/protocol/http-json.ts
+++ b/src/protocol/http-json.ts
@@ -4,7 +4,7 @@
 import { ProtocolFailure } from './errors.js';
 
 /** A JSON response of any status. */
-export interface JsonAnswer {
+export interface JsonResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -41,7 +41,7 @@
   path: string,
   payload?: unknown,
   timeoutMs?: number,
-): Promise<JsonAnswer> {
+): Promise<JsonResponse> {
   const response = await openHttp(method, address, path, payload, timeoutMs);
   let text: string;
   try {
--- a/src/protocol/inference/port.ts
+++ b/src/protocol/inference/port.ts
@@ -37,7 +37,7 @@
 }
 
 /** Status and headers of an engine's response. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: readonly HeaderLine[];
   /** Declared length of the body in bytes; undefined if not declared. */
@@ -69,7 +69,7 @@
   /** The connection was refused. */
   Refused = 'refused',
   /** The connection attempt timed out. */
-  Silent = 'silent',
+  Unresponsive = 'silent',
 }
 
 /** Status of the engine in the headers of a response, independent of the response's outcome. */
@@ -92,7 +92,7 @@
  */
 export interface ExchangeListener {
   onNotice(notice: EngineNotice): void;
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   onChunk(chunk: Uint8Array): void;
   onEnd(): void;
   onFailure(failure: ExchangeFailure): void;
@@ -117,7 +117,7 @@
 }
 
 /** A command to load other weights. */
-export interface WeightOrder {
+export interface LoadCommandRequest {
   readonly model: string;
   readonly version: number;
   /** Name of the coordinator, which holds the lease. */
@@ -128,22 +128,22 @@
 }
 
 /** Start time of the responding incarnation, in Unix milliseconds, if it is in the response. */
-export interface StatedLife {
-  readonly bornMs?: number | undefined;
+export interface IncarnationStart {
+  readonly startedAtMs?: number | undefined;
 }
 
 /** Result of a load command. */
-export type OrderResult =
-  | ({ readonly kind: 'accepted' } & StatedLife)
-  | ({ readonly kind: 'already-done' } & StatedLife)
-  | ({ readonly kind: 'rejected'; readonly status: number } & StatedLife)
+export type LoadCommandResult =
+  | ({ readonly kind: 'accepted' } & IncarnationStart)
+  | ({ readonly kind: 'already-done' } & IncarnationStart)
+  | ({ readonly kind: 'rejected'; readonly status: number } & IncarnationStart)
   /** Another engine now has the address. */
   | { readonly kind: 'replaced' }
   /** No response: the engine may still carry out the command. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
 /** State of one model's weights as reported by an engine; it lags by some hundred milliseconds. */
-export interface WeightState extends StatedLife {
+export interface WeightState extends IncarnationStart {
   readonly version: number;
   /** Whether a load command is in progress. */
   readonly isBusy: boolean;
@@ -160,7 +160,7 @@
 }
 
 /** A page of an event feed. */
-export interface CacheEventPage extends StatedLife {
+export interface CacheEventPage extends IncarnationStart {
   /** Changes when the engine or cache store restarts. */
   readonly epoch: number;
   /** Position at which the next call continues. */
@@ -171,7 +171,7 @@
 }
 
 /** All cached parts of an engine or a cache store. */
-export interface CacheContents extends StatedLife {
+export interface CacheContents extends IncarnationStart {
   /** Changes when the engine or cache store restarts. */
   readonly epoch: number;
   /** Position at which the event feed continues after this state. */
@@ -190,9 +190,12 @@
   /** Opens a connection to the engine's address, without sending a request. */
   checkListener(endpoint: EngineEndpoint): Promise<ListenerState>;
   /** Sends a load command; resolves also if the engine does not respond. */
-  order(endpoint: EngineEndpoint, command: WeightOrder): Promise<OrderResult>;
+  sendLoadCommand(
+    endpoint: EngineEndpoint,
+    command: LoadCommandRequest,
+  ): Promise<LoadCommandResult>;
   /** Returns undefined if the engine does not respond. */
-  weightState(endpoint: EngineEndpoint, model: string): Promise<WeightState | undefined>;
+  readWeightState(endpoint: EngineEndpoint, model: string): Promise<WeightState | undefined>;
   /** Waits up to `waitMs` for events. Rejects with a `ProtocolFailure`. */
   cacheEvents(address: string, since: number, waitMs: number): Promise<CacheEventPage>;
   /** Rejects with a `ProtocolFailure`. Expensive for the engine or cache store: call it rarely. */
--- a/src/protocol/object-api/http-client.ts
+++ b/src/protocol/object-api/http-client.ts
@@ -2,7 +2,7 @@
 import { HttpStatus } from '../http-status.js';
 import { z } from 'zod';
 import { ProtocolFailure } from '../errors.js';
-import { type JsonAnswer, exchangeJson } from '../http-json.js';
+import { type JsonResponse, exchangeJson } from '../http-json.js';
 import type { ObjectApiPort, StoredObject } from './port.js';
 
 const RESPONSE_TIMEOUT_MS = 2_000;
@@ -58,12 +58,12 @@
   return `/objects/${encodeURIComponent(name)}`;
 }
 
-function parseObject(response: JsonAnswer): StoredObject {
+function parseObject(response: JsonResponse): StoredObject {
   const object = objectSchema.safeParse(response.body);
   if (response.status !== HttpStatus.Ok || !object.success) throw rejection(response);
   return object.data;
 }
 
-function rejection(response: JsonAnswer): ProtocolFailure {
+function rejection(response: JsonResponse): ProtocolFailure {
   return new ProtocolFailure({ kind: 'rejected', status: response.status, reason: 'object API' });
 }
--- a/src/protocol/object-store/port.ts
+++ b/src/protocol/object-store/port.ts
@@ -12,7 +12,7 @@
 }
 
 /** Fields that a response of the store has beside its objects. */
-export interface UnnamedItems {
+export interface StoreResponse {
   /** Number of items without a valid key; omitted if there are none. */
   readonly unnamedItems?: number;
   /** Position of the store when it made the response. */
@@ -20,7 +20,7 @@
 }
 
 /** All objects of a kind at one position of the store. */
-export interface ObjectList extends UnnamedItems {
+export interface ObjectList extends StoreResponse {
   readonly objects: readonly StoredObject[];
   /**
    * Monotonic time at which the list was known to be current, `never` if unknown. Omitted: the
@@ -39,7 +39,7 @@
 
 /** Result of a watch: the changes up to a position, or `history-gone` if some may be missing. */
 export type WatchResult =
-  | (UnnamedItems & {
+  | (StoreResponse & {
       readonly kind: 'events';
       readonly events: readonly ObjectEvent[];
       /** Monotonic time at which the position was the latest. Omitted: the start of the call. */
@@ -70,7 +70,7 @@
   /** Includes every change acknowledged before the call. */
   Current = 'current',
   /** May lack the changes of the last seconds; cheaper for the store. */
-  MayBeOld = 'may-be-old',
+  MayBeStale = 'may-be-old',
 }
 
 /** Calls reject with a `ProtocolFailure`. A write without a response may still take effect. */
--- a/src/protocol/peer/relay-codec.ts
+++ b/src/protocol/peer/relay-codec.ts
@@ -29,7 +29,7 @@
 }
 
 /** A decoded response. */
-export interface RelayAnswer {
+export interface RelayResponse {
   readonly number: number;
   readonly isKnown: boolean;
   readonly events: readonly ObjectEvent[];
@@ -42,7 +42,7 @@
 /** A decoded frame. */
 export type RelayMessage =
   | { readonly kind: 'query'; readonly query: RelayQuery }
-  | { readonly kind: 'answer'; readonly answer: RelayAnswer };
+  | { readonly kind: 'answer'; readonly answer: RelayResponse };
 
 /** Largest value of the 32-bit age field. */
 const MAXIMUM_AGE_MS = 0xffff_ffff;
@@ -50,7 +50,7 @@
 const decoder = new TextDecoder();
 
 /** Fields of a response without its changes. */
-export type RelayAnswerHead = Omit<RelayAnswer, 'events'>;
+export type RelayResponseHead = Omit<RelayResponse, 'events'>;
 
 export function encodeRelayQuery(query: RelayQuery): Uint8Array {
   const { number, kind, position, waitMs, acceptsDeflated } = query;
@@ -67,7 +67,7 @@
 }
 
 /** Encodes a response around encoded changes, which several responses can share. */
-export function encodeRelayAnswer(head: RelayAnswerHead, changes: EncodedChanges): Uint8Array {
+export function encodeRelayResponse(head: RelayResponseHead, changes: EncodedChanges): Uint8Array {
   const fields: Contents<ObjectAnswer> = {
     number: head.number,
     isKnown: head.isKnown,
--- a/src/protocol/plain-backend/http-client.ts
+++ b/src/protocol/plain-backend/http-client.ts
@@ -2,9 +2,9 @@
 import { HttpStatus } from '../http-status.js';
 import { z } from 'zod';
 import { toProtocolError } from '../errors.js';
-import { type JsonAnswer, exchangeJson } from '../http-json.js';
+import { type JsonResponse, exchangeJson } from '../http-json.js';
 import type {
-  BackendAnswer,
+  BackendResponse,
   BackendInvocation,
   InvocationResult,
   LookupResult,
@@ -61,7 +61,7 @@
   }
 }
 
-function toInvocationResult(response: JsonAnswer): InvocationResult {
+function toInvocationResult(response: JsonResponse): InvocationResult {
   const refusal = refusalSchema.safeParse(response.body);
   if (refusal.success) return { kind: 'refused', reason: refusal.data.reason };
   if (response.status >= HttpStatus.ServerError) {
@@ -76,6 +76,6 @@
   return { kind: 'interrupted', reason: 'connection lost' };
 }
 
-function toBackendAnswer(status: number, body: unknown): BackendAnswer {
+function toBackendAnswer(status: number, body: unknown): BackendResponse {
   return { status, body: new TextEncoder().encode(JSON.stringify(body)) };
 }
--- a/src/protocol/plain-backend/port.ts
+++ b/src/protocol/plain-backend/port.ts
@@ -12,7 +12,7 @@
 }
 
 /** The response to an operation. */
-export interface BackendAnswer {
+export interface BackendResponse {
   readonly status: number;
   readonly body: Uint8Array;
 }
@@ -25,7 +25,7 @@
 
 /** Result of an invocation. */
 export type InvocationResult =
-  | { readonly kind: 'answered'; readonly answer: BackendAnswer }
+  | { readonly kind: 'answered'; readonly answer: BackendResponse }
   /** The back end rejected the request without running it. */
   | { readonly kind: 'refused'; readonly reason: string }
   /** No connection could be made; nothing was sent. */
@@ -35,7 +35,7 @@
 
 /** State of a request identifier at a back end. */
 export type LookupResult =
-  | { readonly kind: 'answered'; readonly answer: BackendAnswer }
+  | { readonly kind: 'answered'; readonly answer: BackendResponse }
   | { readonly kind: 'running' }
   /**
    * The identifier was not used, and the back end rejects it from now on. `first` is true for
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -31,7 +31,7 @@
   /** Called after the machine was suspended or its wall clock was set. */
   onJump: (jump: ClockJump) => void = () => undefined;
   private readonly meter = new SuspensionMeter(
-    { steadyMs: () => performance.now(), wallMs: () => Date.now() },
+    { monotonicMs: () => performance.now(), wallMs: () => Date.now() },
     (jump) => setImmediate(() => this.onJump(jump)),
   );
 
@@ -40,7 +40,7 @@
   }
 
   elapsed(): ElapsedInstant {
-    return new ElapsedInstant(this.meter.passedMs());
+    return new ElapsedInstant(this.meter.elapsedMs());
   }
 
   wallNow(): number {
--- a/src/runtime/elapsed-instant.ts
+++ b/src/runtime/elapsed-instant.ts
@@ -23,7 +23,7 @@
   }
 
   /** The later of the two instants. */
-  latest(other: ElapsedInstant): ElapsedInstant {
+  later(other: ElapsedInstant): ElapsedInstant {
     return this.isBefore(other) ? other : this;
   }
 }
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -12,7 +12,7 @@
 }
 
 /** Discards every event, for tests and simulated nodes. */
-export class SilentLogger implements Logger {
+export class NoopLogger implements Logger {
   debug(): void {}
   info(): void {}
   warn(): void {}
--- a/src/runtime/pause-detector.ts
+++ b/src/runtime/pause-detector.ts
@@ -19,14 +19,14 @@
   }
 
   /** Records that the process is running now. */
-  note(nowMs: number): void {
+  observe(nowMs: number): void {
     if (nowMs - this.lastMs > PAUSE_MS) this.resumedMs = nowMs + RECOVERY_MS;
     this.lastMs = nowMs;
   }
 
   /** Whether data read now is recent, not buffered during a pause. */
-  isSettled(nowMs: number): boolean {
-    this.note(nowMs);
+  hasRecovered(nowMs: number): boolean {
+    this.observe(nowMs);
     return nowMs >= this.resumedMs;
   }
 }
--- a/src/runtime/store-position.ts
+++ b/src/runtime/store-position.ts
@@ -32,12 +32,12 @@
     return this.era === other.era ? this.revision < other.revision : this.era < other.era;
   }
 
-  isSame(other: StorePosition): boolean {
+  equals(other: StorePosition): boolean {
     return this.era === other.era && this.revision === other.revision;
   }
 
   /** The later of the two positions. */
-  latest(other: StorePosition): StorePosition {
+  later(other: StorePosition): StorePosition {
     return this.isBefore(other) ? other : this;
   }
 
--- a/src/runtime/suspension-meter.ts
+++ b/src/runtime/suspension-meter.ts
@@ -12,7 +12,7 @@
 /** The two clocks, in milliseconds. */
 export interface TimeSources {
   /** Monotonic time; doesn't advance while the machine is suspended. */
-  steadyMs(): number;
+  monotonicMs(): number;
   /** Wall-clock time; advances during a suspension, and steps when it is set. */
   wallMs(): number;
 }
@@ -24,26 +24,26 @@
 }
 
 /** Smaller differences are clock drift; the expiry of configuration proofs has a larger margin. */
-export const SHORTEST_JUMP_MS = 200;
+export const MINIMUM_JUMP_MS = 200;
 
 /** Measures elapsed time, including suspensions, in one process. */
 export class SuspensionMeter {
   private aheadMs: number;
   private suspendedMs = 0;
 
-  /** @param onJump called within {@link passedMs}, so it must only record the jump */
+  /** @param onJump called within {@link elapsedMs}, so it must only record the jump */
   constructor(
     private readonly sources: TimeSources,
     private readonly onJump: (jump: ClockJump) => void,
   ) {
-    this.aheadMs = sources.wallMs() - sources.steadyMs();
+    this.aheadMs = sources.wallMs() - sources.monotonicMs();
   }
 
   /** Monotonic time plus the time in which the machine may have been suspended; never goes back. */
-  passedMs(): number {
-    const monotonicMs = this.sources.steadyMs();
+  elapsedMs(): number {
+    const monotonicMs = this.sources.monotonicMs();
     const jumpMs = this.sources.wallMs() - monotonicMs - this.aheadMs;
-    if (Math.abs(jumpMs) >= SHORTEST_JUMP_MS) {
+    if (Math.abs(jumpMs) >= MINIMUM_JUMP_MS) {
       this.aheadMs += jumpMs;
       this.suspendedMs += Math.max(0, jumpMs);
       this.onJump({ aheadMs: jumpMs });
--- a/src/state/engine-choice.ts
+++ b/src/state/engine-choice.ts
@@ -28,7 +28,7 @@
 export interface Candidate {
   readonly record: EngineRecord;
   /** Estimated cached prompt tokens, weighted by confidence. */
-  readonly keptTokens: number;
+  readonly cachedTokens: number;
   readonly waitMs: number;
   readonly recomputeMs: number;
   readonly networkMs: number;
@@ -156,14 +156,14 @@
   depth: PrefixDepth | undefined,
   request: ChoiceRequest,
 ): Candidate {
-  const keptTokens = cachedTokensOf(depth, request);
+  const cachedTokens = cachedTokensOf(depth, request);
   return {
     record,
-    keptTokens,
+    cachedTokens,
     waitMs: record.waitMs,
-    recomputeMs: (request.promptTokens - keptTokens) * record.tokenMs,
+    recomputeMs: (request.promptTokens - cachedTokens) * record.tokenMs,
     networkMs: record.machine.zone === request.zone ? 0 : CROSS_ZONE_LATENCY_MS,
-    cost: costOf(record, request, keptTokens),
+    cost: costOf(record, request, cachedTokens),
   };
 }
 
--- a/src/state/engine-table.ts
+++ b/src/state/engine-table.ts
@@ -81,7 +81,7 @@
   }
 
   /** Adds prompt tokens sent by this router that the last report does not include. */
-  addUnreported(tokens: number): void {
+  addUnreportedTokens(tokens: number): void {
     this.waitMs += tokens * this.tokenMs;
   }
 
--- a/src/state/heartbeats.ts
+++ b/src/state/heartbeats.ts
@@ -20,14 +20,14 @@
    *
    * @param ageMs age of the heartbeat, if another router received it
    */
-  note(nodeId: string, nowMs: number, ageMs = 0): void {
+  record(nodeId: string, nowMs: number, ageMs = 0): void {
     const atMs = nowMs - ageMs;
     if (atMs > (this.lastHeartbeatMs.get(nodeId) ?? -Infinity))
       this.lastHeartbeatMs.set(nodeId, atMs);
   }
 
   /** Time since the last heartbeat of the member; Infinity if there was none. */
-  silenceMs(nodeId: string, nowMs: number): number {
+  heartbeatAgeMs(nodeId: string, nowMs: number): number {
     return nowMs - (this.lastHeartbeatMs.get(nodeId) ?? -Infinity);
   }
 
--- a/src/state/membership.ts
+++ b/src/state/membership.ts
@@ -332,7 +332,7 @@
   }
 
   private put(update: MemberUpdate, nowMs: number): void {
-    const transmissions = this.spreadCount;
+    const transmissions = this.transmissionCount;
     this.members.set(update.nodeId, { update, changedMs: nowMs, transmissions });
     this.recordChange();
   }
@@ -365,7 +365,7 @@
   }
 
   /** Number of times that a node transmits one update. */
-  get spreadCount(): number {
+  get transmissionCount(): number {
     return Math.ceil(TRANSMISSION_FACTOR * Math.log2(this.members.size + 2));
   }
 
--- a/src/state/prefix-directory.ts
+++ b/src/state/prefix-directory.ts
@@ -54,13 +54,19 @@
   }
 
   /** Lowers the confidence in all estimates about an engine while its feed has a gap. */
-  setDoubted(engineId: string, hasGap: boolean): void {
+  setFeedGap(engineId: string, hasGap: boolean): void {
     if (hasGap) this.unreliableEngines.add(engineId);
     else this.unreliableEngines.delete(engineId);
   }
 
   /** Records that the engine's feed reported the mark as stored or removed. */
-  hear(engineId: string, incarnation: number, mark: bigint, present: boolean, nowMs: number): void {
+  recordMark(
+    engineId: string,
+    incarnation: number,
+    mark: bigint,
+    present: boolean,
+    nowMs: number,
+  ): void {
     this.setIncarnation(engineId, incarnation);
     if (incarnation !== this.incarnations.get(engineId)) return;
     if (present) this.put(mark, engineId, { incarnation, isConfirmed: true, recordedAtMs: nowMs });
@@ -80,7 +86,7 @@
 
   /** Records that the engine computed the prompt, so that all its marks are cached. */
   confirm(engineId: string, incarnation: number, marks: readonly bigint[], nowMs: number): void {
-    for (const mark of marks) this.hear(engineId, incarnation, mark, true, nowMs);
+    for (const mark of marks) this.recordMark(engineId, incarnation, mark, true, nowMs);
   }
 
   /** Removes the estimates beyond the number of marks that a response reported as cached. */
--- a/src/state/request-ledger.ts
+++ b/src/state/request-ledger.ts
@@ -90,7 +90,7 @@
   }
 
   /** Records that an attempt of another node may have run or may still run. */
-  doubtEarlier(): void {
+  markEarlierUnproven(): void {
     this.earlierAttemptsUnproven = true;
   }
 
--- a/src/state/routing/cached-prefixes.ts
+++ b/src/state/routing/cached-prefixes.ts
@@ -14,15 +14,15 @@
   private reportingHolders: ReadonlySet<string> = new Set();
 
   /** Records that a holder has cached `tokens` of a part; 0 if it evicted the part. */
-  note(holder: string, salt: string, partId: string, tokens: number): void {
+  record(holder: string, salt: string, partId: string, tokens: number): void {
     const key = keyOf(salt, partId);
     if (tokens > 0) this.add(holder, key, tokens);
     else this.drop(holder, key);
   }
 
   /** Records that a holder has processed, and so cached, a whole prompt. */
-  notePrompt(holder: string, salt: string, parts: readonly PromptPart[]): void {
-    for (const part of parts) this.note(holder, salt, part.id, part.tokens);
+  recordPrompt(holder: string, salt: string, parts: readonly PromptPart[]): void {
+    for (const part of parts) this.record(holder, salt, part.id, part.tokens);
   }
 
   /** Length of the cached prefix in tokens by holder; holders without one are omitted. */
@@ -58,7 +58,7 @@
   }
 
   /** Sets the holders whose cache events are received; evictions of the others are not observed. */
-  setReported(holders: ReadonlySet<string>): void {
+  setReportingHolders(holders: ReadonlySet<string>): void {
     this.reportingHolders = holders;
   }
 
--- a/src/state/routing/collected-loads.ts
+++ b/src/state/routing/collected-loads.ts
@@ -24,7 +24,7 @@
   private latestMs = -Infinity;
 
   /** Stores a router's report, unless a newer one has arrived. */
-  take(router: string, sequence: number, loads: LoadReport, nowMs: number): void {
+  record(router: string, sequence: number, loads: LoadReport, nowMs: number): void {
     const previous = this.reports.get(router);
     const isFresh = previous !== undefined && nowMs - previous.receivedMs < REPORT_LIFETIME_MS;
     if (isFresh && previous.sequence >= sequence) return;
@@ -33,7 +33,7 @@
   }
 
   /** Time since the last report in milliseconds; Infinity if none was received. */
-  silenceMs(nowMs: number): number {
+  sinceLastReportMs(nowMs: number): number {
     return nowMs - this.latestMs;
   }
 
@@ -52,7 +52,10 @@
  * The engines included in a summary, in descending order of load. Receivers treat engines that are
  * not included as idle.
  */
-export function busiest(sums: LoadReport, count: number): [engine: string, load: EngineLoad][] {
+export function busiestEngines(
+  sums: LoadReport,
+  count: number,
+): [engine: string, load: EngineLoad][] {
   const entries = [...sums];
   if (entries.length <= count) return entries;
   entries.sort(
@@ -83,7 +86,7 @@
   }
 
   /** Returns the load of the other routers in a summary that was just received. */
-  othersOf(collector: string, summary: LoadReport, nowMs: number): LoadReport {
+  withoutOwnLoad(collector: string, summary: LoadReport, nowMs: number): LoadReport {
     const own = this.reports.findLast(
       (report) => report.sentMs <= nowMs - MINIMUM_TRANSIT_MS && report.collector === collector,
     );
--- a/src/state/routing/configuration-state.ts
+++ b/src/state/routing/configuration-state.ts
@@ -29,10 +29,10 @@
   }
 
   /** Applies the result of a call that started at `callStart`; returns whether it is newer. */
-  adopt(configuration: RoutingConfiguration, callStart: ElapsedInstant): boolean {
+  apply(configuration: RoutingConfiguration, callStart: ElapsedInstant): boolean {
     this.isStoreBehind = configuration.version < this.version;
     if (this.isStoreBehind) return false;
-    this.provenAt = this.provenAt.latest(callStart);
+    this.provenAt = this.provenAt.later(callStart);
     if (configuration.version === this.version) return false;
     this.table = new RouteTable(configuration);
     return true;
@@ -48,8 +48,8 @@
    * store holds an older configuration it proves nothing, since lost changes may have revoked a
    * key.
    */
-  prove(callStart: ElapsedInstant): void {
-    if (this.table && !this.isStoreBehind) this.provenAt = this.provenAt.latest(callStart);
+  recordProof(callStart: ElapsedInstant): void {
+    if (this.table && !this.isStoreBehind) this.provenAt = this.provenAt.later(callStart);
   }
 
   /** Age of the latest proof, in milliseconds. */
--- a/src/state/routing/coordinator-succession.ts
+++ b/src/state/routing/coordinator-succession.ts
@@ -34,25 +34,25 @@
   ) {}
 
   /** Records that another router announced a load command. */
-  noteOrder(nowMs: number): void {
+  recordPeerCommand(nowMs: number): void {
     this.otherCommandMs = nowMs;
   }
 
   /** Records a router that reported holding the lease, and the position of its last write. */
-  noteHolder(router: string, position: StorePosition): void {
+  recordLeaseHolder(router: string, position: StorePosition): void {
     if (position.isBefore(this.incumbentPosition)) return;
     this.incumbent = router;
     this.incumbentPosition = position;
   }
 
   /** When this router may act, without the lease, on work pending since `workSinceMs`. */
-  beginsMs(workSinceMs: number): number {
+  earliestStartMs(workSinceMs: number): number {
     const idleSinceMs = Math.max(workSinceMs, this.otherCommandMs + INCUMBENT_TIMEOUT_MS);
-    return idleSinceMs + this.routersBefore * STANDBY_DELAY_MS;
+    return idleSinceMs + this.precedingRouterCount * STANDBY_DELAY_MS;
   }
 
   /** Number of routers before this one: the lease holder and those earlier in the order. */
-  get routersBefore(): number {
+  get precedingRouterCount(): number {
     const routers = this.respondingRouters();
     const before = new Set(routers.slice(0, Math.max(0, routers.indexOf(this.own))));
     const { incumbent } = this;
--- a/src/state/routing/crash-announcement-queue.ts
+++ b/src/state/routing/crash-announcement-queue.ts
@@ -69,7 +69,7 @@
   private rotation = 0;
 
   /** Whether any announcement is pending. */
-  get hasNews(): boolean {
+  get hasPending(): boolean {
     return this.crashes.length > 0 || this.clearances.length > 0;
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Queues a crash received from another router, to relay it. */
-  passOnCrash(engineId: string, fingerprints: readonly string[], atMs: number): void {
+  relayCrash(engineId: string, fingerprints: readonly string[], atMs: number): void {
     this.enqueueCrash(engineId, fingerprints, atMs, RELAY_REPEATS);
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Queues a clearance received from another router, to relay it. */
-  passOnClearance(fingerprint: string, atMs: number): void {
+  relayClearance(fingerprint: string, atMs: number): void {
     this.enqueueClearance(fingerprint, atMs, RELAY_REPEATS);
   }
 
--- a/src/state/routing/engine-backoffs.ts
+++ b/src/state/routing/engine-backoffs.ts
@@ -11,7 +11,7 @@
    *
    * @param durationMs in milliseconds; does not shorten a pause that ends later
    */
-  note(engineName: string, nowMs: number, durationMs: number): void {
+  record(engineName: string, nowMs: number, durationMs: number): void {
     this.removeExpired(nowMs);
     const currentMs = this.untilMs.get(engineName) ?? -Infinity;
     this.untilMs.set(engineName, Math.max(currentMs, nowMs + durationMs));
--- a/src/state/routing/engine-crashes.ts
+++ b/src/state/routing/engine-crashes.ts
@@ -6,7 +6,7 @@
  */
 
 /** Action required after a request broke. */
-export enum BreakFinding {
+export enum BrokenRequestAction {
   /** It is unknown whether the engine crashed; it must be checked. */
   NeedsCheck = 'needs-check',
   /** A check is already in progress. */
@@ -49,18 +49,20 @@
   }
 
   /** Records that the connection of a running request broke. */
-  noteBreak(engineId: string, broken: BrokenRequest): BreakFinding {
+  recordBrokenRequest(engineId: string, broken: BrokenRequest): BrokenRequestAction {
     if (this.crashed.has(engineId)) {
       const nextStartedAtMs = this.crashed.get(engineId) ?? Infinity;
-      return broken.sentMs < nextStartedAtMs ? BreakFinding.Crashed : BreakFinding.Unrelated;
+      return broken.sentMs < nextStartedAtMs
+        ? BrokenRequestAction.Crashed
+        : BrokenRequestAction.Unrelated;
     }
     const awaitingCheck = this.awaitingCheck.get(engineId);
     if (awaitingCheck) {
       awaitingCheck.push(broken);
-      return BreakFinding.AwaitsCheck;
+      return BrokenRequestAction.AwaitsCheck;
     }
     this.awaitingCheck.set(engineId, [broken]);
-    return BreakFinding.NeedsCheck;
+    return BrokenRequestAction.NeedsCheck;
   }
 
   /** Records that the engine refused a connection. Returns the requests that broke with it. */
@@ -86,7 +88,7 @@
    *
    * @param startedAtMs start time of the new incarnation, Unix milliseconds
    */
-  noteReborn(engineId: string, startedAtMs: number): string[] | undefined {
+  recordRestart(engineId: string, startedAtMs: number): string[] | undefined {
     const wasCrashed = this.crashed.has(engineId);
     const earlier = this.removeBreaks(this.unexplained, engineId);
     const broken = [...earlier, ...this.removeBreaks(this.awaitingCheck, engineId)];
--- a/src/state/routing/engine-incarnation.ts
+++ b/src/state/routing/engine-incarnation.ts
@@ -9,7 +9,7 @@
   /** Platform identifier; unchanged by restarts. */
   readonly name: string;
   /** Start time in Unix milliseconds, by the engine's clock; undefined if unknown. */
-  readonly bornMs: number | undefined;
+  readonly startedAtMs: number | undefined;
 }
 
 const INCARNATION_WITH_START = /^(.+)@(\d{1,16})$/;
@@ -22,8 +22,8 @@
 /** Parses an identifier produced by {@link incarnationOf}. */
 export function parseIncarnation(incarnation: string): EngineIncarnation {
   const match = INCARNATION_WITH_START.exec(incarnation);
-  if (!match?.[1] || !match[2]) return { name: incarnation, bornMs: undefined };
-  return { name: match[1], bornMs: Number(match[2]) };
+  if (!match?.[1] || !match[2]) return { name: incarnation, startedAtMs: undefined };
+  return { name: match[1], startedAtMs: Number(match[2]) };
 }
 
 /** Whether two start times are both known and differ. */
--- a/src/state/routing/engine-limits.ts
+++ b/src/state/routing/engine-limits.ts
@@ -52,7 +52,7 @@
    *
    * @returns true if the known limit changed
    */
-  noteNamed(engineName: string, perSecond: number, nowMs: number): boolean {
+  setLimit(engineName: string, perSecond: number, nowMs: number): boolean {
     return this.recordLimit(engineName, perSecond, nowMs, nowMs);
   }
 
@@ -63,7 +63,7 @@
    * @param sentMs when the request was sent
    * @returns true if this lifts a limit
    */
-  noteUnnamed(engineName: string, sentMs: number, nowMs: number): boolean {
+  recordNoLimit(engineName: string, sentMs: number, nowMs: number): boolean {
     const current = this.knownLimits.get(engineName);
     if (current?.perSecond === undefined || sentMs <= current.asOfMs) return false;
     return this.recordLimit(engineName, undefined, sentMs, nowMs);
@@ -85,7 +85,7 @@
   }
 
   /** Announcements to send to the other routers. */
-  notices(nowMs: number): EngineLimitAnnouncement[] {
+  announcements(nowMs: number): EngineLimitAnnouncement[] {
     const changes: EngineLimitAnnouncement[] = [];
     for (const [engineName, { perSecond, asOfMs, learnedAtMs }] of this.knownLimits) {
       const ageMs = Math.max(0, Math.round(nowMs - asOfMs));
--- a/src/state/routing/engine-record.ts
+++ b/src/state/routing/engine-record.ts
@@ -9,7 +9,7 @@
   /** Platform identifier under which the engine is listed; unchanged by restarts. */
   readonly name: string;
   /** Start time of this incarnation in Unix milliseconds; undefined if not stated. */
-  readonly bornMs: number | undefined;
+  readonly startedAtMs: number | undefined;
   readonly service: string;
   /** HOST:PORT; may have belonged to another engine before. */
   readonly address: string;
