--- a/src/state/routing/engine-registry.ts
+++ b/src/state/routing/engine-registry.ts
@@ -21,7 +21,7 @@
   /**
    * Number of load commands applied, as reported by the engine; undefined if it must be queried.
    */
-  observedOrders: number | undefined;
+  observedLoadCommands: number | undefined;
 }
 
 /** Result of storing a record. */
@@ -29,7 +29,7 @@
   /** The incarnation was already registered, or the engine is new. */
   | { readonly kind: 'stored' }
   /** Another incarnation replaced the registered one. */
-  | { readonly kind: 'reborn'; readonly former: EngineRecord }
+  | { readonly kind: 'reborn'; readonly previous: EngineRecord }
   /** The incarnation has ended; the record was ignored. */
   | { readonly kind: 'retired' };
 
@@ -88,7 +88,7 @@
   }
 
   /** Whether an engine of a matching service holds an older version of a model. */
-  hasHolderBefore(model: string, version: number, matches: (service: string) => boolean): boolean {
+  hasOlderHolder(model: string, version: number, matches: (service: string) => boolean): boolean {
     for (const engine of this.engines.values()) {
       if (!engine.record.modelVersions.has(model)) continue;
       if ((versionAt(engine, model) ?? 0) < version && matches(engine.record.service)) return true;
@@ -111,12 +111,12 @@
     if (previous) {
       this.supersede(
         previous,
-        previous.isListed && isLaterIncarnation(record.bornMs, previous.record.bornMs),
+        previous.isListed && isLaterIncarnation(record.startedAtMs, previous.record.startedAtMs),
       );
     }
     this.storeRecord(record, true);
     this.regroup();
-    return previous ? { kind: 'reborn', former: previous.record } : { kind: 'stored' };
+    return previous ? { kind: 'reborn', previous: previous.record } : { kind: 'stored' };
   }
 
   /**
@@ -127,11 +127,11 @@
    * earlier start has to wait for its store entry, unless the registered incarnation is inferred.
    * Returns the record of the incarnation that ended.
    */
-  noteAnswer(expectedId: string, startedAtMs: number): EngineRecord | undefined {
+  recordResponse(expectedId: string, startedAtMs: number): EngineRecord | undefined {
     const { name } = parseIncarnation(expectedId);
     const current = this.byName.get(name);
-    if (current?.record.id !== expectedId) return this.noteHearsay(name, startedAtMs);
-    const isLater = isLaterIncarnation(startedAtMs, current.record.bornMs);
+    if (current?.record.id !== expectedId) return this.recordReportedIncarnation(name, startedAtMs);
+    const isLater = isLaterIncarnation(startedAtMs, current.record.startedAtMs);
     const isKnown = this.superseded.find(incarnationOf(name, startedAtMs)) !== undefined;
     if (!isLater && !isKnown && current.isListed) return undefined;
     return this.startIncarnation(current, startedAtMs, isLater);
@@ -143,9 +143,9 @@
    * restores. A superseded incarnation is not restored, since others may report it until they learn
    * of its successor. Returns the record of the incarnation that ended.
    */
-  noteHearsay(name: string, startedAtMs: number): EngineRecord | undefined {
+  recordReportedIncarnation(name: string, startedAtMs: number): EngineRecord | undefined {
     const current = this.byName.get(name);
-    if (!current || !isLaterIncarnation(startedAtMs, current.record.bornMs)) return undefined;
+    if (!current || !isLaterIncarnation(startedAtMs, current.record.startedAtMs)) return undefined;
     if (this.superseded.find(incarnationOf(name, startedAtMs))) return undefined;
     return this.startIncarnation(current, startedAtMs, false);
   }
@@ -204,7 +204,7 @@
     const inferred = {
       ...record,
       id,
-      bornMs: startedAtMs,
+      startedAtMs,
       modelVersions: loadedVersions(current),
     };
     const mayServe = !this.retired.has(id) && (known !== undefined || !record.isDraining);
@@ -249,7 +249,7 @@
       record: stored,
       isListed,
       observedVersions: new Map(),
-      observedOrders: undefined,
+      observedLoadCommands: undefined,
     };
     this.engines.set(record.id, engine);
     this.byName.set(record.name, engine);
--- a/src/state/routing/feed-share.ts
+++ b/src/state/routing/feed-share.ts
@@ -3,7 +3,7 @@
  */
 
 /** A feed of cache events. */
-export interface HeldFeed {
+export interface CacheFeed {
   /** Engine incarnation or store address that publishes the feed. */
   readonly holder: string;
   /** HOST:PORT. */
@@ -28,11 +28,11 @@
  * range is as long as the limits of holders and routers allow: all feeds in a small deployment,
  * none in a large one.
  */
-export function ownShareOfFeeds(
-  feeds: readonly HeldFeed[],
+export function assignedFeeds(
+  feeds: readonly CacheFeed[],
   rank: number,
   routers: number,
-): HeldFeed[] {
+): CacheFeed[] {
   if (feeds.length === 0) return [];
   const ring = [...feeds].sort((left, right) => (left.holder < right.holder ? -1 : 1));
   const calls = Math.min(...ring.map((feed) => feed.maximumCalls)) - RESERVED_CALLS;
@@ -40,5 +40,5 @@
   const length = Math.min(ring.length, MAXIMUM_FEEDS, affordable);
   if (length < ring.length * MINIMUM_COVERAGE) return [];
   const start = Math.floor((rank * ring.length) / Math.max(1, routers));
-  return Array.from({ length }, (_, index) => ring[(start + index) % ring.length] as HeldFeed);
+  return Array.from({ length }, (_, index) => ring[(start + index) % ring.length] as CacheFeed);
 }
--- a/src/state/routing/finish-estimate.ts
+++ b/src/state/routing/finish-estimate.ts
@@ -10,7 +10,7 @@
   readonly expectedMs: number;
   readonly firstTokenMs: number;
   /** Chunks in the response. */
-  readonly pieces: number;
+  readonly chunkCount: number;
   /** Output tokens allowed by the caller. */
   readonly outputTokens: number;
 }
@@ -51,7 +51,7 @@
   /** Records the end of a response. */
   noteEnd(model: string, sample: FinishSample, nowMs: number): void {
     const ratio = sample.firstTokenMs / Math.max(MINIMUM_EXPECTED_MS, sample.expectedMs);
-    const chunksPerToken = sample.pieces / Math.max(1, sample.outputTokens);
+    const chunksPerToken = sample.chunkCount / Math.max(1, sample.outputTokens);
     const estimate = this.models.get(model);
     if (!estimate) {
       const initial = { samples: 1, updatedAtMs: nowMs, firstTokenRatio: ratio, chunksPerToken };
--- a/src/state/routing/load-commands.ts
+++ b/src/state/routing/load-commands.ts
@@ -38,7 +38,7 @@
   private fastestLoadMs = 0;
 
   /** Adds a command that is sent to an engine. */
-  open(engineId: string, model: string, version: number, nowMs: number): void {
+  add(engineId: string, model: string, version: number, nowMs: number): void {
     const expiresMs = nowMs + COMMAND_TIMEOUT_MS;
     const state = { completedMs: undefined, expiresMs };
     this.commands.set(engineId, { model, version, sentMs: nowMs, ...state });
@@ -51,7 +51,7 @@
   }
 
   /** Drops a command that the engine refused and delays the next one. */
-  giveUp(engineId: string, nowMs: number): void {
+  recordRefusal(engineId: string, nowMs: number): void {
     this.commands.delete(engineId);
     const count = (this.refusals.get(engineId)?.count ?? 0) + 1;
     const delayMs = Math.min(MAXIMUM_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** (count - 1));
@@ -64,7 +64,7 @@
   }
 
   /** Marks a load as completed and returns its duration; undefined if there is none in progress. */
-  finish(engineId: string, nowMs: number): number | undefined {
+  complete(engineId: string, nowMs: number): number | undefined {
     const command = this.commands.get(engineId);
     this.refusals.delete(engineId);
     if (!command || command.completedMs !== undefined) return undefined;
@@ -77,7 +77,7 @@
   }
 
   /** Drops the state of an engine that no longer exists. */
-  forget(engineId: string): void {
+  remove(engineId: string): void {
     this.commands.delete(engineId);
     this.refusals.delete(engineId);
   }
@@ -90,7 +90,7 @@
   }
 
   /** Commands in progress whose engines may have loaded the weights by now. */
-  toPoll(nowMs: number): [engineId: string, command: LoadCommand][] {
+  dueForPolling(nowMs: number): [engineId: string, command: LoadCommand][] {
     const firstPollMs = Math.max(MINIMUM_LOAD_MS, this.fastestLoadMs * FIRST_POLL_SHARE);
     return [...this.commands].filter(
       ([, { completedMs, sentMs }]) => completedMs === undefined && nowMs - sentMs >= firstPollMs,
@@ -98,7 +98,7 @@
   }
 
   /** Announcements for the other routers. */
-  news(nowMs: number): WeightLoadAnnouncement[] {
+  announcements(nowMs: number): WeightLoadAnnouncement[] {
     return [...this.commands].map(([engineId, { model, version, sentMs, completedMs }]) => {
       const observedMs = completedMs ?? nowMs - ((nowMs - sentMs) % REANNOUNCEMENT_PERIOD_MS);
       const ageMs = Math.round(nowMs - observedMs);
--- a/src/state/routing/placement.ts
+++ b/src/state/routing/placement.ts
@@ -37,7 +37,7 @@
   /** Maximum concurrent requests of this router at one engine. */
   readonly connectionShare: number;
   /** Send slots of this router at rate-limited engines. */
-  readonly turns: SlotView;
+  readonly slotView: SlotView;
 }
 
 /** The chosen engine and the parameters of the call to it. */
@@ -66,7 +66,7 @@
 export interface PlacementTables {
   readonly loads: LoadTable;
   readonly health: EngineHealth;
-  readonly kept: CachedPrefixes;
+  readonly cachedPrefixes: CachedPrefixes;
   readonly versions: WeightVersions;
   readonly random: RandomSource;
   readonly homes: HomeRanking;
@@ -140,7 +140,7 @@
   const nameOf = (engine: Engine): string => engine.record.name;
   const homes = tables.homes.firstEligible(affinityKey, candidates, nameOf, HOME_COUNT, isEligible);
   const [store] = tables.homes.first(affinityKey, stores, (each) => each.address, 1);
-  const cachedPrompts = new CachedPromptsBySalt({ ...request, generation }, tables.kept);
+  const cachedPrompts = new CachedPromptsBySalt({ ...request, generation }, tables.cachedPrefixes);
   const { storePressure } = request;
   return { generation, cachedPrompts, homes, store, storePressure };
 }
@@ -194,7 +194,7 @@
 /** Whether the engine's rate limit leaves this router a slot. The limit is never overridden. */
 function isWithinLimit(
   { record }: Engine,
-  { turns }: PlacementRequest,
+  { slotView: turns }: PlacementRequest,
   { health }: PlacementTables,
 ): boolean {
   return health.limits.maySend(record.name, turns);
--- a/src/state/routing/quota/isolated-share.ts
+++ b/src/state/routing/quota/isolated-share.ts
@@ -31,7 +31,7 @@
   }
 
   /** Applies a changed limit or share. */
-  adapt(limit: TenantLimit, share: number, nowMs: number): void {
+  reconfigure(limit: TenantLimit, share: number, nowMs: number): void {
     if (limit === this.limit && share === this.share) return;
     this.limit = limit;
     this.share = share;
@@ -39,14 +39,14 @@
   }
 
   /** Charges the amount unless the share is overdrawn; returns whether it did. */
-  tryTake(amount: number, nowMs: number): boolean {
+  tryCharge(amount: number, nowMs: number): boolean {
     if (this.bucket.level(nowMs) < 0) return false;
     this.bucket.take(amount, nowMs);
     return true;
   }
 
   /** Charges the amount unconditionally; a negative amount is a refund. */
-  take(amount: number, nowMs: number): void {
+  charge(amount: number, nowMs: number): void {
     this.bucket.take(amount, nowMs);
   }
 
--- a/src/state/routing/quota/quota-owner-ranking.ts
+++ b/src/state/routing/quota/quota-owner-ranking.ts
@@ -25,7 +25,7 @@
 /** Liveness of the other routers as observed by this one. */
 export interface RouterLiveness {
   /** Time since the last message from a router, in milliseconds; Infinity if none was received. */
-  silenceMs(address: string): number;
+  heartbeatAgeMs(address: string): number;
   /** Whether a router is known to be down or partitioned. */
   isMissing(address: string): boolean;
 }
@@ -46,21 +46,21 @@
   ) {}
 
   /** Addresses to query for a tenant, in order of preference; empty if none responds. */
-  of(tenant: string, addresses: readonly string[], nowMs: number): string[] {
+  candidates(tenant: string, addresses: readonly string[], nowMs: number): string[] {
     return this.ranked(tenant, addresses).filter((address) => !this.isUnresponsive(address, nowMs));
   }
 
   /** The quota owner while all routers are responsive. */
-  first(tenant: string, addresses: readonly string[]): string | undefined {
+  preferred(tenant: string, addresses: readonly string[]): string | undefined {
     return this.ranked(tenant, addresses)[0];
   }
 
-  noteSilent(address: string, nowMs: number): void {
+  recordTimeout(address: string, nowMs: number): void {
     this.cooldowns.add(address, nowMs);
     this.minimumCooldowns.add(address, nowMs);
   }
 
-  noteAnswer(address: string): void {
+  recordResponse(address: string): void {
     this.cooldowns.remove(address);
     this.minimumCooldowns.remove(address);
   }
@@ -82,7 +82,7 @@
   private isUnresponsive(address: string, nowMs: number): boolean {
     if (this.liveness.isMissing(address)) return true;
     if (!this.cooldowns.has(address, nowMs)) return false;
-    const lastReceivedMs = nowMs - this.liveness.silenceMs(address);
+    const lastReceivedMs = nowMs - this.liveness.heartbeatAgeMs(address);
     if (this.minimumCooldowns.has(address, lastReceivedMs)) return true;
     this.cooldowns.remove(address);
     return false;
--- a/src/state/routing/quota/tenant-account.ts
+++ b/src/state/routing/quota/tenant-account.ts
@@ -98,7 +98,7 @@
   }
 
   /** Applies a changed limit or group. */
-  adapt(limit: TenantLimit, context: AccountContext, nowMs: number): void {
+  reconfigure(limit: TenantLimit, context: AccountContext, nowMs: number): void {
     const before = this.context;
     const isSame =
       limit === this.limit &&
--- a/src/state/routing/rejection.ts
+++ b/src/state/routing/rejection.ts
@@ -3,7 +3,7 @@
  * with a retry delay guarantees that no part of the request ran. Pure.
  */
 import type { RandomSource } from '../../runtime/random.js';
-import { RetrySchedule } from './return-schedule.js';
+import { RetrySchedule } from './retry-schedule.js';
 
 /** Why a request was rejected and may be retried; a label in logs and metrics. */
 export enum RejectionReason {
@@ -64,7 +64,7 @@
 export const JITTER_SHARE = 0.3;
 
 /** Computes retry delays. */
-export class RejectionAdvice {
+export class RetryDelays {
   private readonly schedules = new Map<string, RetrySchedule>();
 
   constructor(private readonly random: RandomSource) {}
--- a/src/state/routing/route-table.ts
+++ b/src/state/routing/route-table.ts
@@ -42,7 +42,7 @@
     return this.tenantsByKey.get(key);
   }
 
-  findTenantNamed(name: string): Tenant | undefined {
+  findTenantByName(name: string): Tenant | undefined {
     return this.tenantsByName.get(name);
   }
 
--- a/src/state/routing/send-rate.ts
+++ b/src/state/routing/send-rate.ts
@@ -15,7 +15,7 @@
 export class SendRate {
   private readonly byModel = new Map<string, SpanAmount[]>();
 
-  note(model: string, amount: number, nowMs: number): void {
+  record(model: string, amount: number, nowMs: number): void {
     const span = Math.floor(nowMs / SPAN_MS);
     const spans = this.byModel.get(model) ?? [];
     const newest = spans.at(-1);
--- a/src/state/routing/store-eras.ts
+++ b/src/state/routing/store-eras.ts
@@ -30,7 +30,7 @@
   }
 
   /** Records an era reported by the store or by another router. */
-  note(era: number, nowMs: number): void {
+  observe(era: number, nowMs: number): void {
     if (era <= this.newestEra) return;
     const isFirst = this.newestEra === StoreEra.Unknown;
     this.newestEra = era;
--- a/src/state/routing/store-outages.ts
+++ b/src/state/routing/store-outages.ts
@@ -19,20 +19,20 @@
   private outages: Outage[] = [];
 
   /** Records that neither the store nor another router on its behalf responded to a call. */
-  noteFailure(nowMs: number): void {
+  recordFailure(nowMs: number): void {
     if (this.current) return;
     this.outages.push({ startedMs: nowMs, endedMs: undefined });
     if (this.outages.length > MAXIMUM_OUTAGES) this.outages.shift();
   }
 
   /** Records a response of the store, which ends an outage. */
-  noteAnswer(nowMs: number): void {
+  recordResponse(nowMs: number): void {
     const { current } = this;
     if (current) current.endedMs = nowMs;
   }
 
   /** Lower bound of the outage time between `fromMs` and `toMs`, in milliseconds. */
-  within(fromMs: number, toMs: number): number {
+  outageMsBetween(fromMs: number, toMs: number): number {
     const overlapsMs = this.outages.map(({ startedMs, endedMs }) => {
       const overlapMs = Math.min(toMs, endedMs ?? toMs) - Math.max(fromMs, startedMs);
       return Math.max(0, overlapMs - DETECTION_DELAY_MS);
@@ -41,7 +41,7 @@
   }
 
   /** Duration of the current outage, in milliseconds; 0 while the store is available. */
-  outForMs(nowMs: number): number {
+  currentOutageMs(nowMs: number): number {
     const { current } = this;
     return current ? nowMs - current.startedMs : 0;
   }
--- a/src/state/routing/store-readers.ts
+++ b/src/state/routing/store-readers.ts
@@ -35,7 +35,7 @@
   const wanted = Math.min(members.length, Math.max(policy.minimumReaders, bySize));
   const zones = [...membersByZone(members).values()];
   // Zones with the highest-capacity members come first.
-  zones.sort((left, right) => byCapability(left[0] as Member, right[0] as Member));
+  zones.sort((left, right) => byCapacity(left[0] as Member, right[0] as Member));
   const readers: Member[] = [];
   for (let rank = 0; readers.length < wanted; rank += 1) {
     const ofRank = zones.flatMap((inZone) => inZone[rank] ?? []);
@@ -68,7 +68,7 @@
 }
 
 /** Orders by descending capacity, then by identifier; the same at all routers. */
-export function byCapability(
+export function byCapacity(
   left: Pick<ReaderCandidate, 'nodeId' | 'capacity'>,
   right: Pick<ReaderCandidate, 'nodeId' | 'capacity'>,
 ): number {
@@ -80,7 +80,7 @@
   members: readonly Member[],
 ): Map<string, Member[]> {
   const byZone = new Map<string, Member[]>();
-  for (const member of [...members].sort(byCapability)) {
+  for (const member of [...members].sort(byCapacity)) {
     const inZone = byZone.get(member.zone);
     if (inZone) inZone.push(member);
     else byZone.set(member.zone, [member]);
--- a/src/state/routing/weight-lease.ts
+++ b/src/state/routing/weight-lease.ts
@@ -146,9 +146,9 @@
    * Records the position that the holder reported for its last write. Positions of an unknown era
    * can't be compared and are ignored.
    */
-  hear(position: StorePosition, receivedMs: number): void {
+  recordReportedWrite(position: StorePosition, receivedMs: number): void {
     if (position.era === StoreEra.Unknown) return;
-    this.eras.note(position.era, receivedMs);
+    this.eras.observe(position.era, receivedMs);
     const known = this.reported?.position ?? StorePosition.start;
     if (known.isBefore(position)) this.reported = { position, receivedMs };
   }
@@ -162,14 +162,14 @@
   observe(view: LeaseView | undefined, era: number, respondedMs: number): void {
     if (era < this.eras.newest) {
       // The response predates the restoration of the store.
-      this.noteUnanswered();
+      this.invalidate();
       return;
     }
-    this.eras.note(era, respondedMs);
+    this.eras.observe(era, respondedMs);
     this.lastReadMs = respondedMs;
     this.isMissing = view === undefined;
     this.missingEra = era;
-    if (!view || !this.view?.position.isSame(view.position)) {
+    if (!view || !this.view?.position.equals(view.position)) {
       this.waitStartMs = this.waitStartOf(view, respondedMs);
       this.actUntil = ElapsedInstant.never;
     }
@@ -177,7 +177,7 @@
   }
 
   /** Applies an acknowledged write of this router. */
-  noteWritten(view: LeaseView, callStart: LeaseTime): void {
+  recordWrite(view: LeaseView, callStart: LeaseTime): void {
     this.isMissing = false;
     this.setView(view);
     this.waitStartMs = callStart.nowMs;
@@ -186,7 +186,7 @@
   }
 
   /** Discards the known state after a write without a response: it may take effect now or later. */
-  noteUnanswered(): void {
+  invalidate(): void {
     this.view = undefined;
     this.isMissing = false;
     this.actUntil = ElapsedInstant.never;
@@ -199,7 +199,7 @@
 
   private waitStartOf(view: LeaseView | undefined, respondedMs: number): number {
     const { reported } = this;
-    if (reported && view?.position.isSame(reported.position)) return reported.receivedMs;
+    if (reported && view?.position.equals(reported.position)) return reported.receivedMs;
     // The holder may have written until just before the store responded.
     return respondedMs;
   }
--- a/src/state/routing/weight-load-announcements.ts
+++ b/src/state/routing/weight-load-announcements.ts
@@ -34,7 +34,7 @@
   private readonly byEngine = new Map<string, TimedAnnouncement>();
 
   /** Records an announcement; returns whether it is newer than the last one of its engine. */
-  take({ ageMs, ...announcement }: WeightLoadAnnouncement, nowMs: number): boolean {
+  record({ ageMs, ...announcement }: WeightLoadAnnouncement, nowMs: number): boolean {
     const observedMs = nowMs - ageMs;
     const known = this.byEngine.get(announcement.engineId);
     if (known && !isNewer({ announcement, observedMs }, known)) return false;
@@ -43,7 +43,7 @@
   }
 
   /** Announcements to relay to other routers; drops expired ones. */
-  toTell(nowMs: number): WeightLoadAnnouncement[] {
+  toRelay(nowMs: number): WeightLoadAnnouncement[] {
     const relayed: WeightLoadAnnouncement[] = [];
     for (const [engineId, { announcement, observedMs }] of this.byEngine) {
       const ageMs = Math.max(0, Math.round(nowMs - observedMs));
--- a/src/state/routing/weight-rollout.ts
+++ b/src/state/routing/weight-rollout.ts
@@ -33,7 +33,7 @@
   /** Waiting costs less than the loads that the next version may make unnecessary. */
   Waiting = 'waiting',
   /** Requests on outdated weights cost more than waiting may save. */
-  Worth = 'worth',
+  Profitable = 'worth',
   /** The earliest deadline allows no further delay. */
   Deadline = 'deadline',
 }
@@ -89,7 +89,7 @@
   const isProfitable = isStartProfitable(behind.length, active.length, view.observed, settings);
   const plan = { model, version: newest, behind: behind.length };
   if (!isDue && !isProfitable) return { ...plan, reason: RolloutReason.Waiting, engines: [] };
-  const reason = isProfitable ? RolloutReason.Worth : RolloutReason.Deadline;
+  const reason = isProfitable ? RolloutReason.Profitable : RolloutReason.Deadline;
   // Past the deadline outdated engines serve no requests, so all of them can load at once.
   const batchLimit = nowMs >= dueMs ? behind.length : batchSize;
   return { ...plan, reason, engines: nextEngines(behind, batchLimit, view) };
--- a/src/state/routing/weight-versions.ts
+++ b/src/state/routing/weight-versions.ts
@@ -39,7 +39,7 @@
    * Records a version; returns whether it is newer than all known ones. Observed times take
    * precedence over estimated ones, earlier times over later ones.
    */
-  note(model: string, published: PublishedVersion): boolean {
+  record(model: string, published: PublishedVersion): boolean {
     const versions = this.byModel.get(model) ?? [];
     const newest = versions.at(-1)?.version ?? 0;
     const known = versions.find((each) => each.version === published.version);
@@ -51,7 +51,7 @@
   }
 
   /** Versions of a model whose publication was observed at or after `sinceMs`. */
-  witnessedSince(model: string, sinceMs: number): PublishedVersion[] {
+  observedSince(model: string, sinceMs: number): PublishedVersion[] {
     const versions = this.byModel.get(model) ?? [];
     return versions.filter(({ isWitnessed, namedMs }) => isWitnessed && namedMs >= sinceMs);
   }
@@ -68,7 +68,7 @@
    * Estimates the publication rate from the intervals between the versions of the last `spanMs`
    * milliseconds, and from the time since the last one if that exceeds the mean interval.
    */
-  namesPerSecond(model: string, spanMs: number, nowMs: number): number {
+  publicationsPerSecond(model: string, spanMs: number, nowMs: number): number {
     const published = (this.byModel.get(model) ?? []).filter(
       ({ namedMs }) => namedMs > nowMs - spanMs,
     );
@@ -101,13 +101,13 @@
   /**
    * Until when a request sent to an engine with `version` may start; undefined without a deadline.
    */
-  lastBeginMs(model: string, version: number, nowMs: number): number | undefined {
+  lastStartMs(model: string, version: number, nowMs: number): number | undefined {
     const dueMs = this.dueMs(model, version, nowMs);
     return dueMs === undefined ? undefined : dueMs + this.beginSlackMs;
   }
 
   private deadlineMsOf({ namedMs }: PublishedVersion, nowMs: number): number {
-    return namedMs + this.graceMs + this.outages.within(namedMs, nowMs);
+    return namedMs + this.graceMs + this.outages.outageMsBetween(namedMs, nowMs);
   }
 }
 
--- a/src/state/site-shares.ts
+++ b/src/state/site-shares.ts
@@ -34,7 +34,7 @@
   }
 
   /** Share of recent requests at each site, for status pages. */
-  met(nowMs: number): Map<string, number> {
+  achievedShares(nowMs: number): Map<string, number> {
     this.decay(nowMs);
     const shares = new Map<string, number>();
     for (const [site, count] of this.sent) shares.set(site, count / Math.max(1e-9, this.total));
--- a/test/gateway/bounded-name-set.test.ts
+++ b/test/gateway/bounded-name-set.test.ts
@@ -4,8 +4,8 @@
 
 test('a name is new once, and the number of names is limited', (t) => {
   const seen = new BoundedNameSet();
-  t.true(seen.note('server-mood'));
-  t.false(seen.note('server-mood'));
-  const isNew = Array.from({ length: 1_000 }, (_, index) => seen.note(`name-${index}`));
+  t.true(seen.addName('server-mood'));
+  t.false(seen.addName('server-mood'));
+  const isNew = Array.from({ length: 1_000 }, (_, index) => seen.addName(`name-${index}`));
   t.is(isNew.filter(Boolean).length, 63);
 });
--- a/test/gateway/cache-feeds.test.ts
+++ b/test/gateway/cache-feeds.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { CacheFeeds } from '../../src/coordination/gateway/cache-feeds.js';
 import type { CacheEventPage, InferencePort } from '../../src/protocol/inference/port.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { incarnationOf } from '../../src/state/routing/engine-incarnation.js';
 import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
@@ -21,57 +21,63 @@
 function feedHarness(respond: (since: number) => CacheEventPage) {
   const harness = new EngineListHarness({ decoder: DECODER });
   harness.incarnations.applyEntry(engineRecord(NAME, FIRST_MS));
-  const kept = new CachedPrefixes();
+  const cachedPrefixes = new CachedPrefixes();
   const requestedSince: number[] = [];
   const engines = {
-    cacheContents: () => Promise.resolve({ epoch: 1, next: 40, held: [], bornMs: FIRST_MS }),
+    cacheContents: () => Promise.resolve({ epoch: 1, next: 40, held: [], startedAtMs: FIRST_MS }),
     cacheEvents: (_address: string, since: number) => {
       requestedSince.push(since);
       return Promise.resolve(respond(since));
     },
   };
   const feeds = new CacheFeeds({
-    kept,
+    cachedPrefixes,
     engines: engines as unknown as InferencePort,
     clock: harness.clock,
     random: new SeededRandom(1),
-    logger: new SilentLogger(),
-    isOfHolder: (holder, bornMs) =>
-      harness.incarnations.acceptResponseOf(holder, bornMs, 'cache-events'),
+    logger: new NoopLogger(),
+    isOfHolder: (holder, startedAtMs) =>
+      harness.incarnations.acceptResponseOf(holder, startedAtMs, 'cache-events'),
   });
   return {
     ...harness,
     clock: harness.clock,
     incarnations: harness.incarnations,
-    kept,
+    cachedPrefixes,
     requestedSince,
     feeds,
   };
 }
 
-function pageOf(bornMs: number, next: number, partId: string): CacheEventPage {
+function pageOf(startedAtMs: number, next: number, partId: string): CacheEventPage {
   // Both incarnations have the same epoch; only the start time distinguishes them.
-  return { bornMs, epoch: 1, next, hasGap: false, events: [{ salt: 's', partId, tokens: 10 }] };
+  return {
+    startedAtMs,
+    epoch: 1,
+    next,
+    hasGap: false,
+    events: [{ salt: 's', partId, tokens: 10 }],
+  };
 }
 
 test('a page of a later incarnation is not applied to the followed one and replaces it in the registry', async (t) => {
-  let bornMs = FIRST_MS;
-  const { clock, kept, feeds, registry } = feedHarness((since) =>
-    pageOf(bornMs, since + 1, 'part'),
+  let startedAtMs = FIRST_MS;
+  const { clock, cachedPrefixes, feeds, registry } = feedHarness((since) =>
+    pageOf(startedAtMs, since + 1, 'part'),
   );
   feeds.follow([{ holder: PREVIOUS, address: ADDRESS }]);
   await clock.advance(100);
-  t.is(kept.sizeOf(PREVIOUS), 1);
-  kept.forget(PREVIOUS);
-  bornMs = SECOND_MS;
+  t.is(cachedPrefixes.sizeOf(PREVIOUS), 1);
+  cachedPrefixes.forget(PREVIOUS);
+  startedAtMs = SECOND_MS;
   await clock.advance(2_000);
-  t.is(kept.sizeOf(PREVIOUS), 0);
-  t.is(registry.findByName(NAME)?.record.bornMs, SECOND_MS);
+  t.is(cachedPrefixes.sizeOf(PREVIOUS), 0);
+  t.is(registry.findByName(NAME)?.record.startedAtMs, SECOND_MS);
   feeds.stop();
 });
 
 test('a later incarnation is followed from the beginning of its events', async (t) => {
-  const { clock, kept, requestedSince, feeds } = feedHarness((since) =>
+  const { clock, cachedPrefixes, requestedSince, feeds } = feedHarness((since) =>
     pageOf(SECOND_MS, since + 1, 'new'),
   );
   feeds.follow([{ holder: PREVIOUS, address: ADDRESS }]);
@@ -81,7 +87,7 @@
   feeds.follow([{ holder: LATER, address: ADDRESS }]);
   await clock.advance(500);
   t.true(requestedSince.includes(0));
-  t.is(kept.sizeOf(LATER), 1);
-  t.is(kept.sizeOf(PREVIOUS), 0);
+  t.is(cachedPrefixes.sizeOf(LATER), 1);
+  t.is(cachedPrefixes.sizeOf(PREVIOUS), 0);
   feeds.stop();
 });
--- a/test/gateway/crash-announcements.test.ts
+++ b/test/gateway/crash-announcements.test.ts
@@ -50,7 +50,7 @@
   harness.network.faults.datagramLoss = LOSS;
   [0, 1, 2].forEach((router) => (harness.peers[router] as Peer).guard.noteCrash(crashOf(router)));
   await harness.clock.advance(SPREAD_MS);
-  (harness.peers[40] as Peer).guard.noteGoodEnd(CAUSE);
+  (harness.peers[40] as Peer).guard.recordSuccess(CAUSE);
   await harness.clock.advance(SPREAD_MS);
   t.is(harness.peers.filter(({ guard }) => guard.isQuarantined(CAUSE)).length, 0);
   await harness.clock.advance(JOINED_MS);
@@ -67,13 +67,13 @@
   await harness.clock.advance(RECEIVED_MS);
   for (const { guard } of others) {
     t.is(guard.crashedEngines(CAUSE).length, 1);
-    t.false(guard.hasNews);
+    t.false(guard.hasAnnouncements);
   }
-  first?.guard.noteGoodEnd(CAUSE);
+  first?.guard.recordSuccess(CAUSE);
   await harness.clock.advance(SPREAD_MS);
   for (const { guard } of others) {
     t.deepEqual(guard.crashedEngines(CAUSE), []);
-    t.false(guard.hasNews);
+    t.false(guard.hasAnnouncements);
   }
   harness.stop();
 });
--- a/test/gateway/directory-answer.test.ts
+++ b/test/gateway/directory-addresses.test.ts
@@ -1,6 +1,6 @@
 /** Guards against directory responses that ignore the zone or the capacity of routers. */
 import test from 'ava';
-import { addressesFor } from '../../src/coordination/gateway/directory-answer.js';
+import { addressesFor } from '../../src/coordination/gateway/directory-addresses.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { MemberStatus, type MemberUpdate } from '../../src/state/membership.js';
 
--- a/test/gateway/engine-backoffs.test.ts
+++ b/test/gateway/engine-backoffs.test.ts
@@ -28,7 +28,7 @@
     let nowMs = 0;
     for (const { engine, afterMs, forMs } of requests) {
       nowMs += afterMs;
-      backoffs.note(engine, nowMs, forMs);
+      backoffs.record(engine, nowMs, forMs);
       endsMs.set(engine, Math.max(endsMs.get(engine) ?? 0, nowMs + forMs));
       for (const [name, endMs] of endsMs) {
         t.is(backoffs.remainingMs(name, nowMs), Math.max(0, endMs - nowMs));
@@ -40,8 +40,8 @@
 
 test('the shortest wait of several engines is returned, and 0 if one has no pause', (t) => {
   const health = new EngineHealth();
-  health.backoffs.note('engine-1', 0, 3_000);
-  health.backoffs.note('engine-2', 0, 1_000);
+  health.backoffs.record('engine-1', 0, 3_000);
+  health.backoffs.record('engine-2', 0, 1_000);
   t.is(health.shortestWaitMs(['engine-1', 'engine-2'], 200, SOLE_ROUTER), 800);
   t.is(health.shortestWaitMs(['engine-1', 'engine-3'], 200, SOLE_ROUTER), 0);
   t.is(health.shortestWaitMs([], 200, SOLE_ROUTER), Infinity);
@@ -49,13 +49,13 @@
 
 test('the wait for a rate-limited engine covers both its pause and the next send slot', (t) => {
   const health = new EngineHealth();
-  health.limits.noteNamed('engine-1', 0.5, 0);
+  health.limits.setLimit('engine-1', 0.5, 0);
   while (health.limits.maySend('engine-1', SOLE_ROUTER))
     health.limits.noteSend('engine-1', SOLE_ROUTER);
   const slotMs = health.limits.waitMs('engine-1', SOLE_ROUTER);
   t.true(slotMs > 0 && slotMs <= 2_000);
   t.is(health.shortestWaitMs(['engine-1'], 0, SOLE_ROUTER), slotMs);
-  health.backoffs.note('engine-1', 0, 5_000);
+  health.backoffs.record('engine-1', 0, 5_000);
   t.is(health.shortestWaitMs(['engine-1'], 0, SOLE_ROUTER), 5_000);
 });
 
--- a/test/gateway/engine-crashes.test.ts
+++ b/test/gateway/engine-crashes.test.ts
@@ -6,7 +6,7 @@
 } from '../../src/coordination/gateway/engine-crash-detector.js';
 import { GatewayStatistics } from '../../src/coordination/gateway/gateway-statistics.js';
 import { type InferencePort, ListenerState } from '../../src/protocol/inference/port.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { type EngineRecord, EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { fingerprintOf } from '../../src/state/routing/request-fingerprint.js';
@@ -22,7 +22,7 @@
   const record: EngineRecord = {
     id: ENGINE,
     name: ENGINE,
-    bornMs: undefined,
+    startedAtMs: undefined,
     service: 'generation',
     address: 'engine-0:1',
     zone: 'zone-a',
@@ -46,7 +46,7 @@
       registry,
       statistics,
       clock,
-      logger: new SilentLogger(),
+      logger: new NoopLogger(),
     },
     (crash) => crashes.push(crash),
   );
@@ -56,9 +56,9 @@
 test('all requests that break with an engine are recorded after one refused connection', async (t) => {
   const { clock, detector, crashes, countChecks } = createDetectorHarness(ListenerState.Refused);
   for (const fingerprint of ['a', 'b', 'c'])
-    detector.noteBreak(ENGINE, fingerprint, RUN_DURATION_MS);
+    detector.recordConnectionLoss(ENGINE, fingerprint, RUN_DURATION_MS);
   await clock.advance(CHECK_DURATION_MS);
-  detector.noteBreak(ENGINE, 'late', RUN_DURATION_MS);
+  detector.recordConnectionLoss(ENGINE, 'late', RUN_DURATION_MS);
   t.is(countChecks(), 1);
   t.deepEqual(crashes, [
     { engineId: ENGINE, fingerprints: ['a', 'b', 'c'] },
@@ -66,10 +66,10 @@
   ]);
 });
 
-for (const state of [ListenerState.Listening, ListenerState.Silent]) {
+for (const state of [ListenerState.Listening, ListenerState.Unresponsive]) {
   test(`a disconnect from an engine whose listener is ${state} is not a crash`, async (t) => {
     const { clock, detector, crashes } = createDetectorHarness(state);
-    detector.noteBreak(ENGINE, 'a', RUN_DURATION_MS);
+    detector.recordConnectionLoss(ENGINE, 'a', RUN_DURATION_MS);
     await clock.advance(CHECK_DURATION_MS);
     t.deepEqual(crashes, []);
   });
@@ -80,16 +80,16 @@
     ListenerState.Refused,
     true,
   );
-  detector.noteBreak(ENGINE, 'a', RUN_DURATION_MS);
-  detector.noteBreak('unlisted', 'a', RUN_DURATION_MS);
+  detector.recordConnectionLoss(ENGINE, 'a', RUN_DURATION_MS);
+  detector.recordConnectionLoss('unlisted', 'a', RUN_DURATION_MS);
   await clock.advance(CHECK_DURATION_MS);
   t.deepEqual([crashes.length, countChecks()], [0, 0]);
 });
 
 test('a request whose connection broke before it could arrive is not recorded', async (t) => {
   const { clock, detector, crashes } = createDetectorHarness(ListenerState.Refused);
-  detector.noteBreak(ENGINE, 'first-send', RUN_DURATION_MS);
-  detector.noteBreak(ENGINE, 'retried-immediately', 0.2);
+  detector.recordConnectionLoss(ENGINE, 'first-send', RUN_DURATION_MS);
+  detector.recordConnectionLoss(ENGINE, 'retried-immediately', 0.2);
   await clock.advance(CHECK_DURATION_MS);
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['first-send'] }]);
 });
@@ -97,14 +97,15 @@
 test('a restart before the check is a crash of the requests that broke with it', async (t) => {
   const { clock, detector, crashes, record } = createDetectorHarness(ListenerState.Listening);
   await clock.advance(5_000);
-  detector.noteBreak(ENGINE, 'reset long before', RUN_DURATION_MS);
+  detector.recordConnectionLoss(ENGINE, 'reset long before', RUN_DURATION_MS);
   await clock.advance(1_000);
-  for (const fingerprint of ['a', 'b']) detector.noteBreak(ENGINE, fingerprint, RUN_DURATION_MS);
+  for (const fingerprint of ['a', 'b'])
+    detector.recordConnectionLoss(ENGINE, fingerprint, RUN_DURATION_MS);
   await clock.advance(CHECK_DURATION_MS);
   t.deepEqual(crashes, []);
   const startedAtMs = clock.wallNow();
   await clock.advance(400);
-  detector.noteReborn(record, startedAtMs);
+  detector.handleRestart(record, startedAtMs);
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['a', 'b'] }]);
 });
 
@@ -113,9 +114,9 @@
     ListenerState.Refused,
   );
   await clock.advance(1_000);
-  detector.noteBreak(ENGINE, 'a', RUN_DURATION_MS);
+  detector.recordConnectionLoss(ENGINE, 'a', RUN_DURATION_MS);
   await clock.advance(CHECK_DURATION_MS);
-  detector.noteReborn(record, clock.wallNow());
+  detector.handleRestart(record, clock.wallNow());
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['a'] }]);
   t.is(statistics.engineCrashes, 1);
 });
@@ -125,9 +126,9 @@
   await clock.advance(1_000);
   const startedAtMs = clock.wallNow();
   await clock.advance(500);
-  detector.noteReborn(record, startedAtMs);
-  detector.noteBreak(ENGINE, 'sent to the new incarnation', 100);
-  detector.noteBreak(ENGINE, 'sent before the restart', 700);
+  detector.handleRestart(record, startedAtMs);
+  detector.recordConnectionLoss(ENGINE, 'sent to the new incarnation', 100);
+  detector.recordConnectionLoss(ENGINE, 'sent before the restart', 700);
   await clock.advance(CHECK_DURATION_MS);
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['sent before the restart'] }]);
 });
@@ -138,7 +139,7 @@
     true,
   );
   await clock.advance(1_000);
-  detector.noteReborn(record, clock.wallNow());
+  detector.handleRestart(record, clock.wallNow());
   t.deepEqual([crashes.length, statistics.engineCrashes], [0, 0]);
 });
 
--- a/test/gateway/engine-health.test.ts
+++ b/test/gateway/engine-health.test.ts
@@ -61,7 +61,7 @@
       simulation.request(step, step % 2 === 0 ? 'plain-unsafe' : 'stream-once', 'tenant-2', 0);
       await simulation.clock.advance(STEP_MS);
     }
-    for (const engine of rejecting) engine.mode = EngineMode.Sound;
+    for (const engine of rejecting) engine.mode = EngineMode.Healthy;
     await simulation.settle();
     const ids = new Set(rejecting.map(({ id }) => id));
     const rejected = simulation.observations.arrivals.filter(({ engineId }) => ids.has(engineId));
--- a/test/gateway/engine-limits-table.test.ts
+++ b/test/gateway/engine-limits-table.test.ts
@@ -5,32 +5,34 @@
 test('the limit stated last applies', (t) => {
   const limits = new EngineLimits();
   t.is(limits.perSecond('engine-1'), undefined);
-  t.true(limits.noteNamed('engine-1', 1.6, 100));
-  t.false(limits.noteNamed('engine-1', 1.6, 200));
-  t.true(limits.noteNamed('engine-1', 1.1, 300));
+  t.true(limits.setLimit('engine-1', 1.6, 100));
+  t.false(limits.setLimit('engine-1', 1.6, 200));
+  t.true(limits.setLimit('engine-1', 1.1, 300));
   t.is(limits.perSecond('engine-1'), 1.1);
   t.is(limits.perSecond('engine-2'), undefined);
 });
 
 test('a limit is lifted only by a response to a request sent after the last one with a limit', (t) => {
   const limits = new EngineLimits();
-  t.false(limits.noteUnnamed('engine-1', 50, 60));
-  limits.noteNamed('engine-1', 1.6, 100);
-  t.false(limits.noteUnnamed('engine-1', 90, 105));
+  t.false(limits.recordNoLimit('engine-1', 50, 60));
+  limits.setLimit('engine-1', 1.6, 100);
+  t.false(limits.recordNoLimit('engine-1', 90, 105));
   t.is(limits.perSecond('engine-1'), 1.6);
-  t.true(limits.noteUnnamed('engine-1', 110, 115));
+  t.true(limits.recordNoLimit('engine-1', 110, 115));
   t.is(limits.perSecond('engine-1'), undefined);
-  t.false(limits.noteUnnamed('engine-1', 120, 125));
+  t.false(limits.recordNoLimit('engine-1', 120, 125));
 });
 
 test('changes of limits are announced for a limited time', (t) => {
   const limits = new EngineLimits();
-  limits.noteNamed('engine-1', 1.6, 1_000);
-  limits.noteNamed('engine-1', 1.6, 1_200);
-  t.deepEqual(limits.notices(1_300), [{ engineName: 'engine-1', perSecond: 1.6, ageMs: 100 }]);
-  t.deepEqual(limits.notices(2_600), []);
-  limits.noteUnnamed('engine-1', 2_700, 2_750);
-  t.deepEqual(limits.notices(2_800), [
+  limits.setLimit('engine-1', 1.6, 1_000);
+  limits.setLimit('engine-1', 1.6, 1_200);
+  t.deepEqual(limits.announcements(1_300), [
+    { engineName: 'engine-1', perSecond: 1.6, ageMs: 100 },
+  ]);
+  t.deepEqual(limits.announcements(2_600), []);
+  limits.recordNoLimit('engine-1', 2_700, 2_750);
+  t.deepEqual(limits.announcements(2_800), [
     { engineName: 'engine-1', perSecond: undefined, ageMs: 100 },
   ]);
 });
@@ -51,9 +53,9 @@
 
 test('a limit outlasts the time between two slots in a large group, then expires', (t) => {
   const limits = new EngineLimits();
-  limits.noteNamed('engine-1', 1.2, 1_000);
-  limits.notices(301_000);
+  limits.setLimit('engine-1', 1.2, 1_000);
+  limits.announcements(301_000);
   t.is(limits.perSecond('engine-1'), 1.2);
-  limits.notices(602_000);
+  limits.announcements(602_000);
   t.is(limits.perSecond('engine-1'), undefined);
 });
--- a/test/gateway/engine-notices.test.ts
+++ b/test/gateway/engine-notices.test.ts
@@ -21,8 +21,8 @@
   for (const seed of SEEDS) {
     const simulation = await GatewaySimulation.create(seed);
     simulation.stopStore(STORE_OUTAGE_MS);
-    simulation.fleet.leave(GENERATION_ENGINE);
-    simulation.fleet.leave(PLAIN_ENGINE);
+    simulation.fleet.announceShutdown(GENERATION_ENGINE);
+    simulation.fleet.announceShutdown(PLAIN_ENGINE);
     await sendAllKinds(simulation, STORE_OUTAGE_MS, STEP_MS);
     await simulation.settle();
     t.true(simulation.observations.notices.length > 0);
--- a/test/gateway/engine-restart.test.ts
+++ b/test/gateway/engine-restart.test.ts
@@ -4,7 +4,7 @@
 import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
 import { MalformedEntry } from '../../src/lab/gateway-simulation/malformed-entry.js';
 import {
-  OrderFault,
+  LoadCommandFault,
   type EngineRestart,
 } from '../../src/lab/gateway-simulation/simulated-fleet.js';
 import { DECODER, KINDS } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
@@ -49,7 +49,7 @@
 
 test('an engine that lost its weights in a restart loads the newest weights again', async (t) => {
   const simulation = await GatewaySimulation.create(12);
-  simulation.nameWeights();
+  simulation.publishWeights();
   await sendStreams(simulation, 2_000);
   t.is(simulation.engine(0).weightsVersion, 2);
   simulation.fleet.restart(0, { ...AT_ONCE, losesLoad: true });
@@ -62,14 +62,15 @@
 
 test('a load command that arrives at a later incarnation is executed once, and newer weights are loaded after it', async (t) => {
   const simulation = await GatewaySimulation.create(13);
-  for (let count = 0; count < 3; count += 1) simulation.fleet.orderFaults.push(OrderFault.Late);
-  simulation.nameWeights();
+  for (let count = 0; count < 3; count += 1)
+    simulation.fleet.loadCommandFaults.push(LoadCommandFault.Late);
+  simulation.publishWeights();
   await sendStreams(simulation, 250);
   for (const index of [0, 1, 2]) simulation.fleet.restart(index, AT_ONCE);
-  simulation.nameWeights();
+  simulation.publishWeights();
   await sendStreams(simulation, 1_000);
   await simulation.settle();
-  const named = simulation.namedVersion;
+  const named = simulation.publishedVersion;
   t.true(
     simulation.fleet.generationEngines.every(({ weightsVersion }) => weightsVersion === named),
   );
@@ -114,7 +115,7 @@
     simulation.request(1 + (turn % 2), turn % 4 < 2 ? 'plain-safe' : 'stream-once', 'tenant-1', 0);
     await simulation.clock.advance(10);
   }
-  simulation.nameWeights();
+  simulation.publishWeights();
   await simulation.clock.advance(3_000);
   for (const index of [0, 1]) simulation.fleet.restart(index, AT_ONCE);
   for (const clockStepMs of [0, STEP_MS, 0]) {
@@ -132,7 +133,7 @@
   test(`a malformed entry (${defect}) adds no engine, and an engine whose entry was overwritten is used again`, async (t) => {
     const HEARTBEAT_MS = 1_200;
     const simulation = await GatewaySimulation.create(15);
-    simulation.fleet.addOddEntry(defect);
+    simulation.fleet.addMalformedEntry(defect);
     simulation.fleet.overwriteEntry(0, defect);
     await simulation.clock.advance(LOAD_MS);
     await sendStreams(simulation, 40);
@@ -157,5 +158,5 @@
   incarnations.applyEntry(engineRecord('engine-1', CURRENT_MS));
   // Another router without access to the store still announces the previous incarnation.
   incarnations.observeIncarnation(incarnationOf('engine-1', PREVIOUS_MS));
-  t.is(registry.findByName('engine-1')?.record.bornMs, CURRENT_MS);
+  t.is(registry.findByName('engine-1')?.record.startedAtMs, CURRENT_MS);
 });
--- a/test/gateway/entry-lapse.test.ts
+++ b/test/gateway/entry-lapse.test.ts
@@ -18,7 +18,7 @@
 
 test('engines whose entries lapsed during an outage stay in use', async (t) => {
   const simulation = await GatewaySimulation.create(1);
-  simulation.lapseEntries(DOWN_MS, REWRITE_MS);
+  simulation.expireEntries(DOWN_MS, REWRITE_MS);
   await simulation.clock.advance(DOWN_MS);
   const first = simulation.requests.length;
   for (let spentMs = 0; spentMs < REWRITE_MS; spentMs += STEP_MS) {
@@ -37,7 +37,7 @@
 test('engines that write their entries two seconds after the outage have stayed in use', async (t) => {
   const simulation = await GatewaySimulation.create(3, { settings: { drainMs: 4_000 } });
   const LATE_REWRITE_MS = 2_000;
-  simulation.lapseEntries(DOWN_MS, LATE_REWRITE_MS);
+  simulation.expireEntries(DOWN_MS, LATE_REWRITE_MS);
   await simulation.clock.advance(DOWN_MS + 1_000);
   const first = simulation.requests.length;
   for (let spentMs = 1_000; spentMs < LATE_REWRITE_MS + 500; spentMs += STEP_MS) {
@@ -57,7 +57,7 @@
 test('an engine that crashed during the outage is removed soon after it', async (t) => {
   const simulation = await GatewaySimulation.create(2);
   const crashed = simulation.engine(4);
-  simulation.lapseEntries(DOWN_MS, REWRITE_MS);
+  simulation.expireEntries(DOWN_MS, REWRITE_MS);
   crashed.crash();
   await simulation.clock.advance(DOWN_MS + 2 * REWRITE_MS + 1_000);
   const sends = simulation.observations.runs.length;
@@ -78,7 +78,7 @@
   });
   const spec: StoredEngine = {
     name: 'engine-1',
-    bornMs: undefined,
+    startedAtMs: undefined,
     service: 'plain',
     address: 'engine-1:1',
     zone: 'zone-a',
@@ -86,9 +86,9 @@
     isDraining: false,
     modelVersions: [],
   };
-  list.takeAll([{ name: spec.name, position: positionAt(2), spec }]);
+  list.applyAll([{ name: spec.name, position: positionAt(2), spec }]);
   list.noteFailure();
-  list.takeGone(spec.name);
+  list.applyRemoval(spec.name);
   t.is(registry.readyOf('plain').length, 1);
   await clock.advance(SHORT_DRAIN_MS);
   t.is(registry.readyOf('plain').length, 0);
@@ -98,16 +98,16 @@
   const { list, incarnations, registry, clock } = new EngineListHarness({ decoder: DECODER });
   incarnations.applyEntry(engineRecord('engine-1', 1_000));
   list.noteFailure();
-  list.takeGone('engine-1');
+  list.applyRemoval('engine-1');
   incarnations.observeIncarnation(incarnationOf('engine-1', 2_000));
-  t.is(registry.findByName('engine-1')?.record.bornMs, 2_000);
+  t.is(registry.findByName('engine-1')?.record.startedAtMs, 2_000);
   await clock.advance(2_000);
   t.is(registry.findByName('engine-1'), undefined);
 });
 
 const LISTED: StoredEngine = {
   name: 'engine-1',
-  bornMs: 1_000,
+  startedAtMs: 1_000,
   service: 'plain',
   address: 'engine-1:1',
   zone: 'zone-a',
@@ -122,11 +122,11 @@
  */
 async function listWithReappearedEntry(): Promise<EngineListHarness> {
   const harness = new EngineListHarness({ decoder: DECODER });
-  harness.list.takeAll([{ name: LISTED.name, position: positionAt(2, 1), spec: LISTED }]);
+  harness.list.applyAll([{ name: LISTED.name, position: positionAt(2, 1), spec: LISTED }]);
   await harness.clock.advance(10_000);
-  harness.list.takeGone(LISTED.name, positionAt(2, 1));
+  harness.list.applyRemoval(LISTED.name, positionAt(2, 1));
   harness.list.noteRestored();
-  harness.list.takeAll([{ name: LISTED.name, position: positionAt(2, 2), spec: LISTED }]);
+  harness.list.applyAll([{ name: LISTED.name, position: positionAt(2, 2), spec: LISTED }]);
   return harness;
 }
 
@@ -135,10 +135,10 @@
   await clock.advance(ENTRY_LIFETIME_MS - 100);
   t.is(registry.readyOf('plain').length, 0);
   // Listed again, unchanged.
-  list.takeAll([{ name: LISTED.name, position: positionAt(2, 2), spec: LISTED }]);
+  list.applyAll([{ name: LISTED.name, position: positionAt(2, 2), spec: LISTED }]);
   t.is(registry.readyOf('plain').length, 0);
   // The entry is no longer written.
-  list.takeGone(LISTED.name, positionAt(2, 2));
+  list.applyRemoval(LISTED.name, positionAt(2, 2));
   await clock.advance(ENTRY_LIFETIME_MS);
   t.is(registry.readyOf('plain').length, 0);
 });
@@ -151,6 +151,6 @@
 
 test('an engine that writes its entry to the restored store is used at once', async (t) => {
   const { list, registry } = await listWithReappearedEntry();
-  list.take({ name: LISTED.name, position: positionAt(5, 2), spec: LISTED });
+  list.apply({ name: LISTED.name, position: positionAt(5, 2), spec: LISTED });
   t.is(registry.readyOf('plain').length, 1);
 });
--- a/test/gateway/group-heartbeats.test.ts
+++ b/test/gateway/group-heartbeats.test.ts
@@ -50,8 +50,8 @@
   const receiver = await heartbeatsOf(members, clock, 2);
   for (const member of members) sender.recordHeartbeat(member);
   receiver.merge(sender.sample());
-  for (const member of members) t.is(receiver.silenceMs(member), 0);
+  for (const member of members) t.is(receiver.heartbeatAgeMs(member), 0);
   const stranger = await heartbeatsOf(['router-9'], clock, 3);
   stranger.merge(sender.sample());
-  t.is(stranger.silenceMs('router-0'), Infinity);
+  t.is(stranger.heartbeatAgeMs('router-0'), Infinity);
 });
--- a/test/gateway/lease-after-restoration.test.ts
+++ b/test/gateway/lease-after-restoration.test.ts
@@ -4,7 +4,7 @@
 import { SimulatedObjectStore } from '../../src/lab/gateway-simulation/simulated-object-store.js';
 import { SimulatedStorePort } from '../../src/lab/gateway-simulation/simulated-store-port.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { StoreEra, StorePosition } from '../../src/runtime/store-position.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { StoreEras } from '../../src/state/routing/store-eras.js';
@@ -36,7 +36,7 @@
     const settings = { holder, life: holder, leaseMs: LEASE_MS, actMs: ACT_MS };
     const port = new SimulatedStorePort(store, holder, new HostClock(clock));
     const lease = new WeightLease(settings, this.eras);
-    this.keeper = new LeaseKeeper(KIND, lease, this.eras, port, clock, new SilentLogger());
+    this.keeper = new LeaseKeeper(KIND, lease, this.eras, port, clock, new NoopLogger());
   }
 
   act(): void {
@@ -68,7 +68,7 @@
   const [formerToken] = holder.tokens;
   const restoredMs = clock.now();
   store.restore(restoredMs - 1_000);
-  holder.eras.note(store.era, clock.now());
+  holder.eras.observe(store.era, clock.now());
   t.is(holder.keeper.activeToken, undefined);
   await contend(clock, [holder], 1_000 + SUCCESSION_MS);
   const later = holder.actedMs.filter((atMs) => atMs > restoredMs);
@@ -116,9 +116,9 @@
     first.eras,
   );
   const record = { holder: 'first', life: 'first', fencingToken: 2 ** 20 + 1 };
-  lease.noteWritten({ record, position: new StorePosition(1, held) }, leaseTimeAt(0));
+  lease.recordWrite({ record, position: new StorePosition(1, held) }, leaseTimeAt(0));
   const port = new SimulatedStorePort(store, 'first', new HostClock(clock));
-  const keeper = new LeaseKeeper(KIND, lease, first.eras, port, clock, new SilentLogger());
+  const keeper = new LeaseKeeper(KIND, lease, first.eras, port, clock, new NoopLogger());
   const advancing = keeper.advance();
   await clock.advance(STEP_MS);
   await advancing;
@@ -133,9 +133,9 @@
     new StoreEras(true),
   );
   const record = { holder: 'other', life: 'other', fencingToken: 2 ** 20 + 5 };
-  lease.hear(new StorePosition(StoreEra.Unknown, 9), 1_000);
+  lease.recordReportedWrite(new StorePosition(StoreEra.Unknown, 9), 1_000);
   lease.observe({ record, position: new StorePosition(1, 9) }, 1, 5_000);
   t.is(lease.next(leaseTimeAt(5_100)), LeaseStep.Wait);
-  lease.hear(new StorePosition(StoreEra.Unknown, 12), 5_200);
+  lease.recordReportedWrite(new StorePosition(StoreEra.Unknown, 12), 5_200);
   t.is(lease.next(leaseTimeAt(5_300)), LeaseStep.Wait);
 });
--- a/test/gateway/load-collection.test.ts
+++ b/test/gateway/load-collection.test.ts
@@ -1,10 +1,10 @@
 /** Guards against missing or doubly counted load in a large group, also after a collector died. */
 import test from 'ava';
-import { busiest } from '../../src/state/routing/collected-loads.js';
+import { busiestEngines } from '../../src/state/routing/collected-loads.js';
 import { LoadCollection } from '../../src/coordination/gateway/load-collection.js';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { GroupHarness } from '../helpers/group-harness.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
@@ -28,7 +28,7 @@
   );
   const routers = harness.routers.map(({ group, host }) => {
     const loads = new LoadTable();
-    const parts = { group, loads, registry, clock: host, logger: new SilentLogger() };
+    const parts = { group, loads, registry, clock: host, logger: new NoopLogger() };
     const collection = new LoadCollection(parts);
     group.onWorkDatagram = (body) => collection.receive(body);
     collection.start();
@@ -79,8 +79,8 @@
     ['c', loadOf(20)],
   ]);
   t.deepEqual(
-    busiest(sums, 2).map(([engine]) => engine),
+    busiestEngines(sums, 2).map(([engine]) => engine),
     ['b', 'c'],
   );
-  t.is(busiest(sums, 3).length, 3);
+  t.is(busiestEngines(sums, 3).length, 3);
 });
--- a/test/gateway/object-follower.test.ts
+++ b/test/gateway/object-follower.test.ts
@@ -6,12 +6,12 @@
   type ObjectStorePort,
   type WatchResult,
 } from '../../src/protocol/object-store/port.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import type { StorePosition } from '../../src/runtime/store-position.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { positionAt } from '../helpers/positions.js';
-import { silentFollowerEvents } from '../helpers/silent-follower-events.js';
+import { noopFollowerEvents } from '../helpers/noop-follower-events.js';
 
 /** A store whose watches end only when the test ends them. */
 class WaitingStore implements Pick<ObjectStorePort, 'list' | 'watch'> {
@@ -42,19 +42,19 @@
     {
       kind: 'kind',
       watchMs: 10_000,
-      gatherMs: 0,
+      batchDelayMs: 0,
       settled: () => Promise.resolve(),
       firstList: ListFreshness.Current,
     },
     store as unknown as ObjectStorePort,
-    silentFollowerEvents({
+    noopFollowerEvents({
       onList: (objects) => seen.push(...objects.map(({ spec }) => spec)),
       onObject: (object) => seen.push(object.spec),
-      onHistoryGone,
+      onHistoryLost: onHistoryGone,
     }),
     clock,
     new SeededRandom(1),
-    new SilentLogger(),
+    new NoopLogger(),
   );
 }
 
--- a/test/gateway/placement-shortcuts.test.ts
+++ b/test/gateway/placement-shortcuts.test.ts
@@ -54,12 +54,12 @@
     holders.forEach(({ zone, cachedParts }, index) => {
       const id = `engine-${index}`;
       registry.put(engineRecord(id, undefined, { service: SERVICE, zone: `zone-${zone}` }));
-      cachedPrefixes.notePrompt(id, salt, PARTS.slice(0, cachedParts));
+      cachedPrefixes.recordPrompt(id, salt, PARTS.slice(0, cachedParts));
     });
     const reporting = holders.flatMap(({ isReported }, index) =>
       isReported ? [`engine-${index}`] : [],
     );
-    cachedPrefixes.setReported(new Set(reporting));
+    cachedPrefixes.setReportingHolders(new Set(reporting));
     const candidates = registry.ofService(SERVICE);
     const generation = { model: MODEL, parts: PARTS, promptTokens: 900, maximumOutputTokens: 9 };
     const bySalt = new CachedPromptsBySalt(
--- a/test/gateway/placement.test.ts
+++ b/test/gateway/placement.test.ts
@@ -37,7 +37,7 @@
   return {
     loads: new LoadTable(),
     health: new EngineHealth(),
-    kept: new CachedPrefixes(),
+    cachedPrefixes: new CachedPrefixes(),
     versions: new WeightVersions(7_000, new StoreOutages()),
     random: new SeededRandom(seed),
     homes: new HomeRanking(hasher),
@@ -78,7 +78,7 @@
       },
     ],
     connectionShare: 10,
-    turns: { wallMs: 0, interval: undefined },
+    slotView: { wallMs: 0, interval: undefined },
   };
 }
 
@@ -197,7 +197,7 @@
   const base = requestFor('subject', registryOf(20), 'zone-0');
   const saveTarget = (ownTokens: number, pressure: StorePressure, isReported = false) => {
     const tables = tablesOf(7);
-    if (isReported) tables.kept.setReported(new Set([STORE]));
+    if (isReported) tables.cachedPrefixes.setReportingHolders(new Set([STORE]));
     const request = { ...withOwnTokens(base, ownTokens), storePressure: pressure };
     return place(request, tables).saveTo;
   };
@@ -230,8 +230,12 @@
   const tables = tablesOf(5);
   const request = requestFor('subject', registry, 'zone-0');
   const home = place(request, tables).engine.record.id;
-  tables.kept.notePrompt(home, `${MODEL}@1`, request.generation?.parts.slice(0, 2) ?? []);
-  tables.kept.setReported(new Set([home]));
+  tables.cachedPrefixes.recordPrompt(
+    home,
+    `${MODEL}@1`,
+    request.generation?.parts.slice(0, 2) ?? [],
+  );
+  tables.cachedPrefixes.setReportingHolders(new Set([home]));
   const placed = place(request, tables);
   t.is(placed.engine.record.id, home);
   t.is(placed.fetchFrom, undefined);
@@ -242,7 +246,11 @@
   const tables = tablesOf(5);
   const request = requestFor('subject', registry, 'zone-0');
   const home = place(request, tables).engine.record.id;
-  tables.kept.notePrompt(home, `${MODEL}@1`, request.generation?.parts.slice(0, 2) ?? []);
+  tables.cachedPrefixes.recordPrompt(
+    home,
+    `${MODEL}@1`,
+    request.generation?.parts.slice(0, 2) ?? [],
+  );
   const placed = place(request, tables);
   t.is(placed.engine.record.id, home);
   t.is(placed.fetchFrom, STORE);
@@ -254,8 +262,12 @@
   const fetchSource = (isReported: boolean): string | undefined => {
     const tables = tablesOf(5);
     const home = place(request, tables).engine.record;
-    tables.kept.notePrompt(home.id, `${MODEL}@1`, request.generation?.parts.slice(0, 2) ?? []);
-    tables.kept.setReported(new Set(isReported ? [home.id] : []));
+    tables.cachedPrefixes.recordPrompt(
+      home.id,
+      `${MODEL}@1`,
+      request.generation?.parts.slice(0, 2) ?? [],
+    );
+    tables.cachedPrefixes.setReportingHolders(new Set(isReported ? [home.id] : []));
     overload(home.id, tables);
     const placed = place(request, tables);
     t.not(placed.engine.record.id, home.id);
--- a/test/gateway/quarantine-writes.test.ts
+++ b/test/gateway/quarantine-writes.test.ts
@@ -10,7 +10,7 @@
 import { SimulatedObjectStore } from '../../src/lab/gateway-simulation/simulated-object-store.js';
 import { SimulatedStorePort } from '../../src/lab/gateway-simulation/simulated-store-port.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
@@ -52,7 +52,7 @@
       statistics: this.statistics,
       clock: host,
       random: new SeededRandom(1),
-      logger: new SilentLogger(),
+      logger: new NoopLogger(),
       announce: () => undefined,
       endCalls: () => undefined,
     });
@@ -71,7 +71,7 @@
 test('the completion of a request that was only suspected makes no call to the store', async (t) => {
   const harness = new ProtectionHarness();
   await harness.crash(2);
-  harness.protection.guard.noteGoodEnd(REQUEST);
+  harness.protection.guard.recordSuccess(REQUEST);
   await harness.clock.advance(STEP_MS);
   t.deepEqual(harness.removed, []);
   t.is(harness.statistics.suspicionsCleared, 1);
@@ -82,7 +82,7 @@
   const harness = new ProtectionHarness();
   await harness.crash(3);
   t.is(harness.store.all(KIND).length, 1);
-  harness.protection.guard.noteGoodEnd(REQUEST);
+  harness.protection.guard.recordSuccess(REQUEST);
   await harness.clock.advance(STEP_MS);
   t.deepEqual(harness.store.all(KIND), []);
   t.is(harness.statistics.quarantineLifted, 1);
@@ -94,7 +94,7 @@
   await harness.crash(2);
   const quarantinedAtMs = harness.clock.wallNow();
   await harness.clock.advance(STEP_MS);
-  harness.protection.guard.noteGoodEnd(REQUEST);
+  harness.protection.guard.recordSuccess(REQUEST);
   const record = { tenant: '', route: '', path: '', engines: [], quarantinedAtMs };
   harness.store.put(KIND, REQUEST, record);
   await harness.clock.advance(LIST_MS);
--- a/test/gateway/quota-account.test.ts
+++ b/test/gateway/quota-account.test.ts
@@ -87,12 +87,12 @@
   const account = new TenantAccount(LIMIT, CONTEXT, 0);
   account.charge({ amount: 1, isTaken: false }, 0);
   const full = account.level(900);
-  account.adapt(LIMIT, { ...CONTEXT, reachableShare: 0.7 }, 900);
+  account.reconfigure(LIMIT, { ...CONTEXT, reachableShare: 0.7 }, 900);
   t.is(account.level(900), full);
-  account.adapt(LIMIT, { ...CONTEXT, reachableShare: 0.1 }, 900);
+  account.reconfigure(LIMIT, { ...CONTEXT, reachableShare: 0.1 }, 900);
   const left = account.level(900);
   t.true(left < 0.05 * excessAllowed(LIMIT, TOLERANCE));
-  account.adapt(LIMIT, CONTEXT, 900);
+  account.reconfigure(LIMIT, CONTEXT, 900);
   t.is(account.level(900), left);
 });
 
@@ -109,18 +109,18 @@
 test('a lower limit reduces the level, a higher one does not raise it at once', (t) => {
   const account = new TenantAccount(LIMIT, CONTEXT, 0);
   const low = { ...LIMIT, ratePerSecond: 1_000, burst: 1_000 };
-  account.adapt(low, CONTEXT, 0);
+  account.reconfigure(low, CONTEXT, 0);
   const level = account.level(0);
   t.true(level <= low.burst + excessAllowed(low, TOLERANCE));
-  account.adapt(LIMIT, CONTEXT, 0);
+  account.reconfigure(LIMIT, CONTEXT, 0);
   t.is(account.level(0), level);
 });
 
 test('an isolated share grants a request larger than itself and stays overdrawn afterwards', (t) => {
   const share = new IsolatedShare(LIMIT, 1 / 79, 0);
-  t.true(share.tryTake(9_000, 0));
-  t.false(share.tryTake(100, 1_000));
-  t.true(share.tryTake(100, 60_000));
+  t.true(share.tryCharge(9_000, 0));
+  t.false(share.tryCharge(100, 1_000));
+  t.true(share.tryCharge(100, 60_000));
 });
 
 test('requests are charged their declared tokens, or 1 if the limit counts requests', (t) => {
--- a/test/gateway/rejection.test.ts
+++ b/test/gateway/rejection.test.ts
@@ -8,11 +8,11 @@
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
 import { FinishEstimate, type FinishSample } from '../../src/state/routing/finish-estimate.js';
 import {
-  RejectionAdvice,
+  RetryDelays,
   type RejectionContext,
   RejectionReason,
 } from '../../src/state/routing/rejection.js';
-import { RetrySchedule } from '../../src/state/routing/return-schedule.js';
+import { RetrySchedule } from '../../src/state/routing/retry-schedule.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
 import { engineRecord } from '../helpers/engine-record.js';
 
@@ -35,7 +35,7 @@
     fc.array(fc.tuple(anyContext, fc.integer({ min: 0, max: 400 })), { minLength: 1 }),
     fc.nat(),
     (rejections, seed) => {
-      const advice = new RejectionAdvice(new SeededRandom(seed));
+      const advice = new RetryDelays(new SeededRandom(seed));
       let nowMs = 0;
       for (const [context, pauseMs] of rejections) {
         nowMs += pauseMs;
@@ -83,7 +83,7 @@
 });
 
 test('the retry delay grows with the duration of a store outage', (t) => {
-  const advice = new RejectionAdvice({ next: () => 0 });
+  const advice = new RetryDelays({ next: () => 0 });
   const context = {
     reason: RejectionReason.ConfigurationUnproven,
     priority: 1,
@@ -106,7 +106,7 @@
   noteEnd: (sample: FinishSample) => void,
 ): void {
   for (let count = 0; count < 200; count += 1) {
-    noteEnd({ expectedMs: 1_000, firstTokenMs: 2_000, pieces: 10, outputTokens: 10 });
+    noteEnd({ expectedMs: 1_000, firstTokenMs: 2_000, chunkCount: 10, outputTokens: 10 });
     estimate.notePause(MODEL, 50);
   }
 }
--- a/test/gateway/relay-eras.test.ts
+++ b/test/gateway/relay-eras.test.ts
@@ -6,9 +6,9 @@
 import type { RelayedObjectStore } from '../../src/coordination/gateway/store-relay/relayed-object-store.js';
 import { ListFreshness, type StoredObject } from '../../src/protocol/object-store/port.js';
 import {
-  type RelayAnswer,
+  type RelayResponse,
   decodeRelayFrame,
-  encodeRelayAnswer,
+  encodeRelayResponse,
   encodeRelayQuery,
 } from '../../src/protocol/peer/relay-codec.js';
 import { NO_CHANGES } from '../../src/protocol/peer/encoded-changes.js';
@@ -24,10 +24,10 @@
 }
 
 /** Queries whose responses are all the same. */
-function queriesWithResponse(answer: Omit<RelayAnswer, 'number' | 'heldMs'>): PeerQueries {
-  const query = (): Promise<RelayAnswer> => Promise.resolve({ ...answer, number: 1, heldMs: 0 });
+function queriesWithResponse(answer: Omit<RelayResponse, 'number' | 'heldMs'>): PeerQueries {
+  const query = (): Promise<RelayResponse> => Promise.resolve({ ...answer, number: 1, heldMs: 0 });
   const client = { query } as unknown as RelayClient;
-  return new PeerQueries(client, SETTINGS.freshMs, new VirtualClock());
+  return new PeerQueries(client, SETTINGS.maximumProofAgeMs, new VirtualClock());
 }
 
 /** Watches in an endless loop. */
@@ -68,7 +68,7 @@
   mirror.applyList([thing(4, 1)], positionAt(4, 1), elapsedAt(0));
   mirror.applyChanges([{ object: thing(6, 2), isGone: false }], positionAt(6, 2), elapsedAt(100));
   t.deepEqual(mirror.all, [thing(4, 1)]);
-  t.true(mirror.position.isSame(positionAt(4, 1)));
+  t.true(mirror.position.equals(positionAt(4, 1)));
 });
 
 test('a follower gets the restored state from its reader', async (t) => {
@@ -105,7 +105,7 @@
 test('a list with an era is preferred over one without, whatever the revisions', async (t) => {
   const answers = [positionAt(3, 1), new StorePosition(StoreEra.Unknown, 90)];
   const client = {
-    query: (): Promise<Omit<RelayAnswer, 'number' | 'heldMs'>> =>
+    query: (): Promise<Omit<RelayResponse, 'number' | 'heldMs'>> =>
       Promise.resolve({
         isKnown: true,
         events: [],
@@ -113,16 +113,16 @@
         proofAgeMs: 5,
       }),
   } as unknown as RelayClient;
-  const queries = new PeerQueries(client, SETTINGS.freshMs, new VirtualClock());
+  const queries = new PeerQueries(client, SETTINGS.maximumProofAgeMs, new VirtualClock());
   const list = await queries.newestList(['new:7000', 'old:7000'], KIND);
-  t.true(list?.position.isSame(positionAt(3, 1)));
+  t.true(list?.position.equals(positionAt(3, 1)));
 });
 
 test('relay frames preserve eras and their absence', (t) => {
   const head = { number: 1, isKnown: true, proofAgeMs: 1, heldMs: 1 };
   for (const era of [StoreEra.Unknown, StoreEra.None, 1, 7]) {
     const position = new StorePosition(era, 40);
-    const answer = decodeRelayFrame(encodeRelayAnswer({ ...head, position }, NO_CHANGES));
+    const answer = decodeRelayFrame(encodeRelayResponse({ ...head, position }, NO_CHANGES));
     t.like(answer, { kind: 'answer', answer: { position } });
     const asked = { number: 1, kind: KIND, position, waitMs: 1, acceptsDeflated: true };
     t.like(decodeRelayFrame(encodeRelayQuery(asked)), { kind: 'query', query: { position } });
--- a/test/gateway/request-quarantine.test.ts
+++ b/test/gateway/request-quarantine.test.ts
@@ -114,7 +114,7 @@
     repeated.filter((each) => !each.isCleared).map(({ fingerprint }) => fingerprint),
   );
   t.is(fingerprintsSeen.size, 20);
-  t.false(queue.hasNews);
+  t.false(queue.hasPending);
 });
 
 test('crash reports for one engine are merged into one announcement up to its capacity', (t) => {
@@ -128,7 +128,7 @@
   t.is(announcements.length, 8);
   const fingerprintsSeen = new Set(announcements.flatMap(({ fingerprints }) => fingerprints));
   t.is(fingerprintsSeen.size, ROUTERS);
-  t.false(queue.hasNews);
+  t.false(queue.hasPending);
 
   queue.addCrash('engine-1', ['early'], 0);
   queue.addCrash('engine-1', ['late'], 10_000);
--- a/test/gateway/requests-at-engine-restart.test.ts
+++ b/test/gateway/requests-at-engine-restart.test.ts
@@ -124,7 +124,7 @@
     running.map(({ reply }) => reply.own),
     running.map(() => undefined),
   );
-  for (const request of [...engine.running]) request.breakOff();
+  for (const request of [...engine.running]) request.disconnect();
   await simulation.settle();
   t.deepEqual(findBreaches(simulation), []);
 });
--- a/test/gateway/relayed-changes.test.ts
+++ b/test/gateway/response-encoder.test.ts
@@ -1,10 +1,10 @@
 /** Guards against lost or altered changes, and repeated encoding, in relay responses. */
 import test from 'ava';
 import fc from 'fast-check';
-import { ResponseEncoder } from '../../src/coordination/gateway/store-relay/answer-changes.js';
+import { ResponseEncoder } from '../../src/coordination/gateway/store-relay/response-encoder.js';
 import type { ObjectEvent } from '../../src/protocol/object-store/port.js';
 import { type EncodedChanges } from '../../src/protocol/peer/encoded-changes.js';
-import { decodeRelayFrame, encodeRelayAnswer } from '../../src/protocol/peer/relay-codec.js';
+import { decodeRelayFrame, encodeRelayResponse } from '../../src/protocol/peer/relay-codec.js';
 import { positionAt } from '../helpers/positions.js';
 
 const HEAD = { number: 3, isKnown: true, position: positionAt(40), proofAgeMs: 12, heldMs: 5 };
@@ -21,7 +21,7 @@
 }
 
 function decodedEvents(changes: EncodedChanges): readonly ObjectEvent[] | undefined {
-  const message = decodeRelayFrame(encodeRelayAnswer(HEAD, changes));
+  const message = decodeRelayFrame(encodeRelayResponse(HEAD, changes));
   return message?.kind === 'answer' ? message.answer.events : undefined;
 }
 
@@ -39,8 +39,8 @@
 test('many changes are deflated only for routers that accept it', (t) => {
   const events = Array.from({ length: 200 }, (_, index) => eventOf(index, false));
   const encoder = new ResponseEncoder();
-  const deflated = encodeRelayAnswer(HEAD, encoder.encode(SPAN, events, true));
-  const plain = encodeRelayAnswer(HEAD, encoder.encode(SPAN, events, false));
+  const deflated = encodeRelayResponse(HEAD, encoder.encode(SPAN, events, true));
+  const plain = encodeRelayResponse(HEAD, encoder.encode(SPAN, events, false));
   t.true(deflated.length < plain.length / 5, `${deflated.length} of ${plain.length} bytes`);
 });
 
@@ -57,5 +57,5 @@
 
 test('a frame whose deflated changes are invalid is malformed', (t) => {
   const bytes = new Uint8Array([1, 2, 3]);
-  t.is(decodeRelayFrame(encodeRelayAnswer(HEAD, { kind: 'deflated', bytes })), undefined);
+  t.is(decodeRelayFrame(encodeRelayResponse(HEAD, { kind: 'deflated', bytes })), undefined);
 });
--- a/test/gateway/routing-state.test.ts
+++ b/test/gateway/routing-state.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { CachedPrefixes } from '../../src/state/routing/cached-prefixes.js';
-import { type HeldFeed, ownShareOfFeeds } from '../../src/state/routing/feed-share.js';
+import { type CacheFeed, assignedFeeds } from '../../src/state/routing/feed-share.js';
 import { SharedRetryBudget } from '../../src/state/routing/shared-retry-budget.js';
 import { TrafficSplit } from '../../src/state/routing/traffic-split.js';
 import type { Route } from '../../src/state/routing/configuration.js';
@@ -18,7 +18,7 @@
     const cachedPrefixes = new CachedPrefixes();
     const table = new Map<string, number>();
     for (const [name, salted, id, tokens] of entries) {
-      cachedPrefixes.note(name, salted, id, tokens);
+      cachedPrefixes.record(name, salted, id, tokens);
       table.set(`${name}/${salted}/${id}`, tokens);
     }
     const parts = ['p', 'q', 'r'].map((id) => ({ id, tokens: 10 }));
@@ -47,14 +47,14 @@
     fc.integer({ min: 1, max: 120 }),
     fc.constantFrom(3, 12),
     (holders, routers, maximumCalls) => {
-      const feeds: HeldFeed[] = Array.from({ length: holders }, (_, index) => ({
+      const feeds: CacheFeed[] = Array.from({ length: holders }, (_, index) => ({
         holder: `engine-${index}`,
         address: `10.0.0.${index}:1`,
         maximumCalls,
       }));
       const followers = new Map<string, number>();
       for (let rank = 0; rank < routers; rank += 1) {
-        const own = ownShareOfFeeds(feeds, rank, routers);
+        const own = assignedFeeds(feeds, rank, routers);
         t.true(own.length <= 48);
         t.is(new Set(own.map((feed) => feed.holder)).size, own.length);
         for (const { holder } of own) followers.set(holder, (followers.get(holder) ?? 0) + 1);
@@ -71,8 +71,8 @@
     address: 'a:1',
     maximumCalls: 12,
   }));
-  t.is(ownShareOfFeeds(feeds, 5, 79).length, 0);
-  t.is(ownShareOfFeeds(feeds, 5, 12).length, 48);
+  t.is(assignedFeeds(feeds, 5, 79).length, 0);
+  t.is(assignedFeeds(feeds, 5, 12).length, 48);
 });
 
 test('cached prefixes of a holder without a feed expire unless recorded again', (t) => {
@@ -80,11 +80,11 @@
   const tokensAt = (holder: string): number =>
     cachedPrefixes.leadingTokens('salt', [{ id: 'part', tokens: 5 }]).get(holder) ?? 0;
   for (const holder of ['reported', 'unreported', 'used'])
-    cachedPrefixes.note(holder, 'salt', 'part', 5);
-  cachedPrefixes.setReported(new Set(['reported']));
+    cachedPrefixes.record(holder, 'salt', 'part', 5);
+  cachedPrefixes.setReportingHolders(new Set(['reported']));
   cachedPrefixes.expire();
   t.is(tokensAt('unreported'), 5);
-  cachedPrefixes.note('used', 'salt', 'part', 5);
+  cachedPrefixes.record('used', 'salt', 'part', 5);
   cachedPrefixes.expire();
   t.deepEqual(['reported', 'unreported', 'used'].map(tokensAt), [5, 0, 5]);
 });
@@ -95,7 +95,7 @@
     address: 'a:1',
     maximumCalls: 12,
   }));
-  for (let rank = 0; rank < 7; rank += 1) t.is(ownShareOfFeeds(feeds, rank, 7).length, 14);
+  for (let rank = 0; rank < 7; rank += 1) t.is(assignedFeeds(feeds, rank, 7).length, 14);
 });
 
 test('retries stay within their share of the requests in the window', (t) => {
--- a/test/gateway/run-start-deadline.test.ts
+++ b/test/gateway/run-start-deadline.test.ts
@@ -21,7 +21,7 @@
 
 test('a send is withdrawn exactly once, when the weights of its engine expire', async (t) => {
   const { clock, versions, startDeadline, expiredMs } = createHarness();
-  versions.note(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
   startDeadline();
   await clock.advance(2 * LIMIT_MS);
   t.deepEqual(expiredMs, [LIMIT_MS]);
@@ -32,14 +32,14 @@
   startDeadline();
   await clock.advance(9_050);
   t.deepEqual(expiredMs, []);
-  versions.note(MODEL, { version: 2, namedMs: 1_000, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 1_000, isWitnessed: true });
   await clock.advance(200);
   t.is(expiredMs.length, 1);
 });
 
 test('a send that starts too late is withdrawn only after its constructor has returned', async (t) => {
   const { clock, versions, startDeadline, expiredMs } = createHarness();
-  versions.note(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
   await clock.advance(LIMIT_MS + 1);
   startDeadline();
   t.deepEqual(expiredMs, []);
@@ -49,7 +49,7 @@
 
 test('a request that has started is not withdrawn', async (t) => {
   const { clock, versions, startDeadline, expiredMs } = createHarness();
-  versions.note(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
   const deadline = startDeadline();
   await clock.advance(1_000);
   deadline.cancel();
--- a/test/gateway/run-start-on-replaced-weights.test.ts
+++ b/test/gateway/run-start-on-replaced-weights.test.ts
@@ -28,18 +28,18 @@
   const simulation = await GatewaySimulation.create(seed);
   const engines = simulation.fleet.generationEngines;
   for (const engine of engines) {
-    engine.takesOrders = false;
+    engine.acceptsLoadCommands = false;
     engine.queueMs = QUEUE_MS;
   }
   await simulation.clock.advance(steadyMs);
-  simulation.nameWeights();
+  simulation.publishWeights();
   const untilMs = SIMULATION_BOUNDS.versionMs + UNRESPONSIVE_AFTER_DEADLINE_MS;
   for (let spentMs = 0; spentMs < untilMs; spentMs += STEP_MS) {
     simulation.request(spentMs / STEP_MS, kind, 'tenant-2', 0);
     await simulation.clock.advance(STEP_MS);
   }
   for (const engine of engines) {
-    engine.takesOrders = true;
+    engine.acceptsLoadCommands = true;
     engine.queueMs = 0;
   }
   await simulation.settle();
--- a/test/gateway/send-slots.test.ts
+++ b/test/gateway/send-slots.test.ts
@@ -27,7 +27,7 @@
   const { routers, perSecond, gapMs, durationMs, idleMs, clockSkewMs } = demand;
   const groups = Array.from({ length: routers }, (_, index) => {
     const limits = new EngineLimits();
-    limits.noteNamed(ENGINE, perSecond, 0);
+    limits.setLimit(ENGINE, perSecond, 0);
     return { limits, interval: { from: index / routers, to: (index + 1) / routers } };
   });
   const sentMs: number[] = [];
@@ -92,7 +92,7 @@
 test('routers get slots in proportion to their intervals', (t) => {
   const count = ({ from, to }: SlotInterval): number => {
     const limits = new EngineLimits();
-    limits.noteNamed(ENGINE, 10, 0);
+    limits.setLimit(ENGINE, 10, 0);
     let sent = 0;
     for (let nowMs = 0; nowMs < 30_000; nowMs += 10) {
       const view = { wallMs: START_MS + nowMs, interval: { from, to } };
@@ -110,7 +110,7 @@
 
 test('a router without an interval sends no requests to a limited engine, but does to others', (t) => {
   const limits = new EngineLimits();
-  limits.noteNamed(ENGINE, 5, 0);
+  limits.setLimit(ENGINE, 5, 0);
   const view = { wallMs: START_MS, interval: undefined };
   t.false(limits.maySend(ENGINE, view));
   t.true(limits.waitMs(ENGINE, view) > 0);
@@ -120,7 +120,7 @@
 
 test('a wall clock that is set back neither stops the slots nor repeats more than one', (t) => {
   const limits = new EngineLimits();
-  limits.noteNamed(ENGINE, 2, 0);
+  limits.setLimit(ENGINE, 2, 0);
   const sendAt = (wallMs: number): boolean => {
     const view = { wallMs, interval: FULL };
     const isSent = limits.maySend(ENGINE, view);
@@ -152,7 +152,7 @@
     fc.integer({ min: 0, max: 100_000 }),
     (perSecond, offsetMs) => {
       const limits = new EngineLimits();
-      limits.noteNamed(ENGINE, perSecond, 0);
+      limits.setLimit(ENGINE, perSecond, 0);
       const interval = { from: 0.2, to: 0.5 };
       const viewAt = (nowMs: number) => ({ wallMs: START_MS + offsetMs + nowMs, interval });
       while (limits.maySend(ENGINE, viewAt(0))) limits.noteSend(ENGINE, viewAt(0));
--- a/test/gateway/store-order.test.ts
+++ b/test/gateway/store-order.test.ts
@@ -10,7 +10,7 @@
   type StoredObject,
   type WatchResult,
 } from '../../src/protocol/object-store/port.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { StorePosition } from '../../src/runtime/store-position.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
@@ -19,7 +19,7 @@
 import { elapsedAt } from '../helpers/instants.js';
 import { engineRecord } from '../helpers/engine-record.js';
 import { positionAt } from '../helpers/positions.js';
-import { silentFollowerEvents } from '../helpers/silent-follower-events.js';
+import { noopFollowerEvents } from '../helpers/noop-follower-events.js';
 
 const READY: StoredObject = {
   name: 'engine-1',
@@ -113,17 +113,17 @@
     {
       kind: 'engines',
       watchMs: 1_000,
-      gatherMs: 0,
+      batchDelayMs: 0,
       settled: () => Promise.resolve(),
       firstList: ListFreshness.Current,
     },
     store,
-    silentFollowerEvents({
+    noopFollowerEvents({
       onList: (objects) => taken.push(objects),
     }),
     clock,
     new SeededRandom(1),
-    new SilentLogger(),
+    new NoopLogger(),
   );
   follower.start();
   await clock.advance(2_000);
--- a/test/gateway/store-outage.test.ts
+++ b/test/gateway/store-outage.test.ts
@@ -5,12 +5,12 @@
 import type { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { ListFreshness } from '../../src/protocol/object-store/port.js';
 import { sleep } from '../../src/runtime/clock.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { chooseReaders } from '../../src/state/routing/store-readers.js';
 import { KIND, RelayHarness, member } from '../helpers/relay-harness.js';
 import { ElapsedInstant } from '../../src/runtime/elapsed-instant.js';
-import { silentFollowerEvents } from '../helpers/silent-follower-events.js';
+import { noopFollowerEvents } from '../helpers/noop-follower-events.js';
 
 /** Settings of a deployment with many routers and one store. */
 const LARGE: RelaySettings = {
@@ -18,7 +18,7 @@
   routersPerReader: 80,
   minimumReaders: 2,
   watchMs: 600,
-  freshMs: 1_400,
+  maximumProofAgeMs: 1_400,
 };
 
 /** A large group whose routers all follow one kind, and the ages of their newest proofs. */
@@ -28,23 +28,23 @@
   const proofs = harness.stores.map(() => ElapsedInstant.never);
   for (const [index, store] of harness.stores.entries()) {
     const noteAnswer = (proven: ElapsedInstant): void => {
-      proofs[index] = proven.latest(proofs[index] ?? ElapsedInstant.never);
+      proofs[index] = proven.later(proofs[index] ?? ElapsedInstant.never);
     };
     const follower = new ObjectFollower(
       {
         kind: KIND,
         watchMs: 1_500,
-        gatherMs: 0,
+        batchDelayMs: 0,
         settled: () => sleep(harness.clock, 500),
         firstList: ListFreshness.Current,
       },
       store,
-      silentFollowerEvents({
+      noopFollowerEvents({
         onAnswer: noteAnswer,
       }),
       harness.hosts[index] as HostClock,
       new SeededRandom(500 + index),
-      new SilentLogger(),
+      new NoopLogger(),
     );
     follower.start();
   }
@@ -72,7 +72,10 @@
   // Readers retry within 0.75 s and get a proof immediately; followers query them as often.
   t.true(oldestProofAgeMs() <= 2_000, `oldest proof ${oldestProofAgeMs()} ms`);
   await harness.clock.advance(1_500);
-  t.true(oldestProofAgeMs() <= 2 * LARGE.freshMs, `oldest proof ${oldestProofAgeMs()} ms`);
+  t.true(
+    oldestProofAgeMs() <= 2 * LARGE.maximumProofAgeMs,
+    `oldest proof ${oldestProofAgeMs()} ms`,
+  );
   t.true(harness.store.calls - beforeReturn <= 60, `${harness.store.calls - beforeReturn} calls`);
 });
 
@@ -85,7 +88,10 @@
     harness.store.unreachableFor.add(reader.nodeId);
   }
   await harness.clock.advance(8_000);
-  t.true(oldestProofAgeMs() <= 3 * LARGE.freshMs, `oldest proof ${oldestProofAgeMs()} ms`);
+  t.true(
+    oldestProofAgeMs() <= 3 * LARGE.maximumProofAgeMs,
+    `oldest proof ${oldestProofAgeMs()} ms`,
+  );
 });
 
 test('followers keep getting recent proofs after their readers lost power', async (t) => {
--- a/test/gateway/store-relay.test.ts
+++ b/test/gateway/store-relay.test.ts
@@ -61,7 +61,7 @@
 test('a query is answered within its wait even if the proof is renewed meanwhile', async (t) => {
   const clock = new VirtualClock();
   const mirrors = new ObjectMirrors();
-  const server = new RelayServer(mirrors, SETTINGS.freshMs, clock);
+  const server = new RelayServer(mirrors, SETTINGS.maximumProofAgeMs, clock);
   const mirror = mirrors.of(KIND);
   mirror.applyList([], positionAt(5), clock.elapsed());
   await clock.advance(1_000);
@@ -100,7 +100,7 @@
 test('a query for a position ahead of the mirror is held until the mirror has caught up', async (t) => {
   const clock = new VirtualClock();
   const mirrors = new ObjectMirrors();
-  const server = new RelayServer(mirrors, SETTINGS.freshMs, clock);
+  const server = new RelayServer(mirrors, SETTINGS.maximumProofAgeMs, clock);
   const mirror = mirrors.of(KIND);
   mirror.applyList([], positionAt(5), clock.elapsed());
   const answers: RelayMessage[] = [];
@@ -145,12 +145,12 @@
   harness.store.put(KIND, 'second', { value: 2 });
   const beganMs = harness.clock.now();
   let at = position;
-  while (at.isSame(position)) {
+  while (at.equals(position)) {
     const result = await harness.run(follower.watch(KIND, at, 1_500));
     if (result instanceof Error || result.kind !== 'events') return t.fail(String(result));
     if (result.events.length > 0) at = result.position;
   }
-  t.true(harness.clock.now() - beganMs <= SETTINGS.freshMs + 100);
+  t.true(harness.clock.now() - beganMs <= SETTINGS.maximumProofAgeMs + 100);
 });
 
 test('a follower stops using a frozen reader and ignores its late responses', async (t) => {
--- a/test/gateway/store-restored.test.ts
+++ b/test/gateway/store-restored.test.ts
@@ -12,10 +12,10 @@
 import { sendAllKinds } from '../../src/lab/gateway-simulation/simulation-traffic.js';
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { ListFreshness } from '../../src/protocol/object-store/port.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
-import { silentFollowerEvents } from '../helpers/silent-follower-events.js';
+import { noopFollowerEvents } from '../helpers/noop-follower-events.js';
 
 const SEEDS = [1, 2, 3];
 const STEP_MS = 20;
@@ -93,22 +93,22 @@
     {
       kind: 'things',
       watchMs: 600,
-      gatherMs: 0,
+      batchDelayMs: 0,
       settled: () => Promise.resolve(),
       firstList: ListFreshness.Current,
     },
     new SimulatedStorePort(store, 'router', new HostClock(clock)),
-    silentFollowerEvents({
+    noopFollowerEvents({
       onList: (objects) => {
         seen.clear();
         for (const { name, spec } of objects) seen.set(name, spec);
       },
       onObject: ({ name, spec }) => seen.set(name, spec),
-      onGone: (name) => seen.delete(name),
+      onRemoved: (name) => seen.delete(name),
     }),
     clock,
     new SeededRandom(1),
-    new SilentLogger(),
+    new NoopLogger(),
   );
   store.put('things', 'lasting', 1);
   await clock.advance(100);
--- a/test/gateway/suspended-machine.test.ts
+++ b/test/gateway/suspended-machine.test.ts
@@ -6,7 +6,7 @@
 import { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import {
-  SHORTEST_JUMP_MS,
+  MINIMUM_JUMP_MS,
   SuspensionMeter,
   type TimeSources,
 } from '../../src/runtime/suspension-meter.js';
@@ -58,7 +58,7 @@
   const settings = { holder: 'a', life: '1', leaseMs: 3_000, actMs: 500 };
   const own = { holder: 'a', life: '1', fencingToken: 4 };
   const holder = new WeightLease(settings, new StoreEras(true));
-  holder.noteWritten({ record: own, position: positionAt(3) }, time());
+  holder.recordWrite({ record: own, position: positionAt(3) }, time());
   const standby = new WeightLease({ ...settings, holder: 'b' }, new StoreEras(true));
   standby.observe({ record: own, position: positionAt(3) }, StoreEra.None, host.now());
   t.is(holder.next(time()), LeaseStep.Act);
@@ -93,13 +93,13 @@
   fc.record({ kind: fc.constant('run' as const), ms: fc.integer({ min: 0, max: 5_000 }) }),
   fc.record({
     kind: fc.constant('suspended' as const),
-    ms: fc.integer({ min: SHORTEST_JUMP_MS, max: 60_000 }),
+    ms: fc.integer({ min: MINIMUM_JUMP_MS, max: 60_000 }),
   }),
   fc.record({
     kind: fc.constant('wall-set' as const),
     ms: fc.oneof(
-      fc.integer({ min: -60_000, max: -SHORTEST_JUMP_MS }),
-      fc.integer({ min: SHORTEST_JUMP_MS, max: 60_000 }),
+      fc.integer({ min: -60_000, max: -MINIMUM_JUMP_MS }),
+      fc.integer({ min: MINIMUM_JUMP_MS, max: 60_000 }),
     ),
   }),
 );
@@ -108,15 +108,15 @@
   const property = fc.property(fc.array(anyEvent, { maxLength: 40 }), (events) => {
     let steadyMs = 0;
     let wallMs = 1_000_000;
-    const sources: TimeSources = { steadyMs: () => steadyMs, wallMs: () => wallMs };
+    const sources: TimeSources = { monotonicMs: () => steadyMs, wallMs: () => wallMs };
     const meter = new SuspensionMeter(sources, () => undefined);
     let passedMs = 0;
-    let lastMs = meter.passedMs();
+    let lastMs = meter.elapsedMs();
     for (const { kind, ms } of events) {
       if (kind !== 'suspended') steadyMs += kind === 'run' ? ms : 0;
       wallMs += ms;
       if (kind !== 'wall-set') passedMs += ms;
-      const countedMs = meter.passedMs();
+      const countedMs = meter.elapsedMs();
       t.true(countedMs >= lastMs);
       t.true(countedMs >= passedMs);
       lastMs = countedMs;
@@ -128,15 +128,16 @@
 test('only forward steps of the wall clock count as elapsed time', (t) => {
   let wallMs = 50_000;
   const jumps: number[] = [];
-  const meter = new SuspensionMeter({ steadyMs: () => 10, wallMs: () => wallMs }, ({ aheadMs }) =>
-    jumps.push(aheadMs),
+  const meter = new SuspensionMeter(
+    { monotonicMs: () => 10, wallMs: () => wallMs },
+    ({ aheadMs }) => jumps.push(aheadMs),
   );
   wallMs -= 3_000;
-  t.is(meter.passedMs(), 10);
+  t.is(meter.elapsedMs(), 10);
   wallMs += 3_000;
-  t.is(meter.passedMs(), 3_010);
-  wallMs += SHORTEST_JUMP_MS - 1;
-  t.is(meter.passedMs(), 3_010);
+  t.is(meter.elapsedMs(), 3_010);
+  wallMs += MINIMUM_JUMP_MS - 1;
+  t.is(meter.elapsedMs(), 3_010);
   t.deepEqual(jumps, [-3_000, 3_000]);
 });
 
--- a/test/gateway/weight-handover.test.ts
+++ b/test/gateway/weight-handover.test.ts
@@ -12,11 +12,11 @@
  * Names weights, waits for the first load command and returns the index of the router that sent it.
  */
 async function untilFirstLoadCommand(simulation: GatewaySimulation): Promise<number> {
-  const before = simulation.observations.orders.length;
-  simulation.nameWeights();
+  const before = simulation.observations.loadCommands.length;
+  simulation.publishWeights();
   for (let spentMs = 0; spentMs < DEADLINE_MS; spentMs += STEP_MS) {
     await simulation.clock.advance(STEP_MS);
-    const order = simulation.observations.orders[before];
+    const order = simulation.observations.loadCommands[before];
     if (order) return Number(order.holder.at(-1));
   }
   throw new Error('no load command was sent');
@@ -66,7 +66,7 @@
   let spentMs = 0;
   while (
     simulation.fleet.generationEngines.some(
-      (engine) => engine.weightsVersion < simulation.namedVersion,
+      (engine) => engine.weightsVersion < simulation.publishedVersion,
     )
   ) {
     if (spentMs >= limitMs) return Infinity;
@@ -88,7 +88,7 @@
 test('at a high request rate, engines load new weights at once', async (t) => {
   const simulation = await GatewaySimulation.create(4);
   await warmUp(simulation);
-  simulation.nameWeights();
+  simulation.publishWeights();
   t.true((await loadedAfterMs(simulation, 12_000)) < 4_000);
   await simulation.settle();
   t.deepEqual(findBreaches(simulation), []);
@@ -110,7 +110,7 @@
   const holder = await untilFirstLoadCommand(simulation);
   await simulation.clock.advance(8_000);
   simulation.cutFromStore(holder, 30_000);
-  simulation.nameWeights();
+  simulation.publishWeights();
   t.true((await loadedAfterMs(simulation, 14_000)) < 7_000);
   await simulation.settle();
   t.deepEqual(findBreaches(simulation), []);
@@ -126,7 +126,7 @@
   simulation.killRouter(1, LONG_MS);
   // Their heartbeats have timed out, though the membership still only suspects them.
   await simulation.clock.advance(3_000);
-  simulation.nameWeights();
+  simulation.publishWeights();
   const tookMs = await loadedAfterMs(simulation, 14_000);
   t.true(tookMs < 2_500, `loaded after ${tookMs} ms`);
   t.deepEqual(findBreaches(simulation), []);
--- a/test/gateway/weight-lease.test.ts
+++ b/test/gateway/weight-lease.test.ts
@@ -43,7 +43,7 @@
       plan.forEach(([, isReceived], index) => {
         const receivedMs = (written[index] ?? 0) + DELAY_MS;
         if (isReceived && receivedMs > timeMs - 10 && receivedMs <= timeMs)
-          standby.hear(positionAt(index + 1), timeMs);
+          standby.recordReportedWrite(positionAt(index + 1), timeMs);
       });
       const step = standby.next(leaseTimeAt(timeMs));
       const revision = revisionAt(timeMs);
@@ -78,7 +78,7 @@
     record: { holder: 'holder', life: 'holder', fencingToken: 1 },
     position: positionAt(7),
   };
-  standby.hear(positionAt(7), 1_000);
+  standby.recordReportedWrite(positionAt(7), 1_000);
   t.is(standby.next(leaseTimeAt(5_200)), LeaseStep.Read);
   standby.observe(view, StoreEra.None, 5_200);
   t.is(standby.next(leaseTimeAt(5_200)), LeaseStep.TakeOver);
@@ -100,10 +100,10 @@
   const holder = leaseOf('holder');
   holder.observe(undefined, StoreEra.None, 0);
   const record = holder.recordFor(LeaseStep.Create);
-  holder.noteWritten({ record, position: positionAt(3) }, leaseTimeAt(100));
+  holder.recordWrite({ record, position: positionAt(3) }, leaseTimeAt(100));
   t.is(holder.next(leaseTimeAt(200)), LeaseStep.Act);
   t.deepEqual(holder.heldPosition, positionAt(3));
-  holder.hear(positionAt(4), 250);
+  holder.recordReportedWrite(positionAt(4), 250);
   t.is(holder.next(leaseTimeAt(300)), LeaseStep.Read);
   t.is(holder.heldPosition, undefined);
 });
--- a/test/gateway/weight-load-announcements.test.ts
+++ b/test/gateway/weight-load-announcements.test.ts
@@ -8,7 +8,7 @@
   SimulatedDatagramTransport,
   SimulatedSockets,
 } from '../../src/lab/simulation/simulated-transports.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
@@ -17,7 +17,7 @@
   WeightLoadAnnouncements,
 } from '../../src/state/routing/weight-load-announcements.js';
 import type { DatagramTransport } from '../../src/transport/datagram-transport.js';
-import { silentGroupEvents } from '../helpers/silent-group-events.js';
+import { noopGroupEvents } from '../helpers/noop-group-events.js';
 
 const MODEL = 'model-a';
 const ROUTERS = 40;
@@ -36,12 +36,12 @@
   const property = fc.property(fc.array(step, { minLength: 1, maxLength: 12 }), (steps) => {
     const announcements = new WeightLoadAnnouncements();
     for (const { version, isLoading } of steps) {
-      announcements.take(announcementOf('engine', version, isLoading), 1_000);
+      announcements.record(announcementOf('engine', version, isLoading), 1_000);
     }
     const progress = ({ version, isLoading }: (typeof steps)[number]): number =>
       version * 2 + (isLoading ? 0 : 1);
     const last = steps.reduce((best, each) => (progress(each) > progress(best) ? each : best));
-    const [relayed] = announcements.toTell(1_000);
+    const [relayed] = announcements.toRelay(1_000);
     t.is(relayed?.version, last.version);
     t.is(relayed?.isLoading, last.isLoading);
   });
@@ -50,13 +50,13 @@
 
 test('announcements are relayed for a limited time, and renewed only by a load in progress', (t) => {
   const announcements = new WeightLoadAnnouncements();
-  t.true(announcements.take(announcementOf('engine', 2, true), 0));
-  t.false(announcements.take(announcementOf('engine', 2, true, 300), 300));
-  t.true(announcements.take(announcementOf('engine', 2, true), 1_000));
-  t.is(announcements.toTell(2_000).length, 1);
-  t.is(announcements.toTell(2_600).length, 0);
-  t.false(announcements.take(announcementOf('engine', 1, false), 2_700));
-  t.true(announcements.take(announcementOf('engine', 2, false), 2_700));
+  t.true(announcements.record(announcementOf('engine', 2, true), 0));
+  t.false(announcements.record(announcementOf('engine', 2, true, 300), 300));
+  t.true(announcements.record(announcementOf('engine', 2, true), 1_000));
+  t.is(announcements.toRelay(2_000).length, 1);
+  t.is(announcements.toRelay(2_600).length, 0);
+  t.false(announcements.record(announcementOf('engine', 1, false), 2_700));
+  t.true(announcements.record(announcementOf('engine', 2, false), 2_700));
 });
 
 /** Counts the datagrams that one router sends. */
@@ -99,9 +99,9 @@
     const transport = new CountingTransport(new SimulatedDatagramTransport(sockets, name));
     const received: WeightLoadAnnouncement[] = [];
     const peer = { transport, received, own: [] as WeightLoadAnnouncement[] };
-    const events = silentGroupEvents({
-      weightsNews: () => peer.own,
-      onWeightsNews: (announcement) => received.push(announcement),
+    const events = noopGroupEvents({
+      weightLoadAnnouncements: () => peer.own,
+      onWeightLoadAnnouncement: (announcement) => received.push(announcement),
     });
     const address = `${name}:7000`;
     const identity = {
@@ -119,7 +119,7 @@
       events,
       clock,
       new SeededRandom(100 + index),
-      new SilentLogger(),
+      new NoopLogger(),
     );
     group.start();
     peers.push(Object.assign(peer, { group }));
@@ -153,7 +153,7 @@
   const host = new HostClock(clock);
   sockets.network.attach('router-0', host);
   const transport = new CountingTransport(new SimulatedDatagramTransport(sockets, 'router-0'));
-  const events = silentGroupEvents();
+  const events = noopGroupEvents();
   const group = await GroupMembership.open(
     {
       identity: {
@@ -171,7 +171,7 @@
     events,
     clock,
     new SeededRandom(2),
-    new SilentLogger(),
+    new NoopLogger(),
   );
   const other = await GroupMembership.open(
     {
@@ -190,7 +190,7 @@
     events,
     clock,
     new SeededRandom(3),
-    new SilentLogger(),
+    new NoopLogger(),
   );
   sockets.network.attach('router-1', new HostClock(clock));
   group.reportNow();
--- a/test/gateway/weight-outage.test.ts
+++ b/test/gateway/weight-outage.test.ts
@@ -8,7 +8,7 @@
 import { GatewaySimulation } from '../../src/lab/gateway-simulation/gateway-simulation.js';
 import { ProtocolFailure } from '../../src/protocol/errors.js';
 import type { ObjectStorePort } from '../../src/protocol/object-store/port.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
 import { StoreEras } from '../../src/state/routing/store-eras.js';
@@ -30,26 +30,26 @@
     let longestMs = 0;
     for (const [availableMs, outageMs] of spans) {
       now += availableMs;
-      outages.noteFailure(now);
-      outages.noteFailure(now);
+      outages.recordFailure(now);
+      outages.recordFailure(now);
       longestMs += Math.max(0, Math.min(toMs, now + outageMs) - Math.max(fromMs, now));
       now += outageMs;
-      outages.noteAnswer(now);
+      outages.recordResponse(now);
     }
-    return outages.within(fromMs, toMs) <= longestMs;
+    return outages.outageMsBetween(fromMs, toMs) <= longestMs;
   });
   fc.assert(property, { seed: 9, numRuns: 300 });
   const outages = new StoreOutages();
-  outages.noteFailure(1_000);
-  t.is(outages.within(0, 5_000), 3_250);
-  outages.noteAnswer(3_000);
-  t.is(outages.within(0, 5_000), 1_250);
+  outages.recordFailure(1_000);
+  t.is(outages.outageMsBetween(0, 5_000), 3_250);
+  outages.recordResponse(3_000);
+  t.is(outages.outageMsBetween(0, 5_000), 1_250);
 });
 
 test('weights named before an outage do not leave the service without an engine', async (t) => {
   const OUTAGE_MS = 6_500;
   const simulation = await GatewaySimulation.create(11);
-  simulation.nameWeights();
+  simulation.publishWeights();
   await simulation.clock.advance(1_000);
   simulation.stopStore(OUTAGE_MS);
   await simulation.clock.advance(OUTAGE_MS);
@@ -86,7 +86,7 @@
   };
   const eras = new StoreEras(true);
   const lease = new WeightLease({ holder: 'a', life: '1', leaseMs: 3_000, actMs: 500 }, eras);
-  const keeper = new LeaseKeeper('leases', lease, eras, store, clock, new SilentLogger());
+  const keeper = new LeaseKeeper('leases', lease, eras, store, clock, new NoopLogger());
   for (let spentMs = 0; spentMs < 6_000; spentMs += 100) {
     await keeper.advance();
     await clock.advance(100);
--- a/test/gateway/weight-rollout.test.ts
+++ b/test/gateway/weight-rollout.test.ts
@@ -33,7 +33,7 @@
       modelVersions: new Map([[MODEL, version]]),
     }),
     observedVersions: new Map<string, number>(),
-    observedOrders: undefined,
+    observedLoadCommands: undefined,
     isListed: true,
   }));
 }
@@ -44,8 +44,8 @@
   requests: ReadonlyMap<string, number> = new Map(),
 ): RolloutView {
   const versions = new WeightVersions(GRACE_MS, new StoreOutages());
-  versions.note(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
-  versions.note(MODEL, { version: 3, namedMs: 4_000, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
+  versions.record(MODEL, { version: 3, namedMs: 4_000, isWitnessed: true });
   return {
     model: MODEL,
     engines,
@@ -73,7 +73,7 @@
 
 test('a rollout starts at once if requests on outdated weights cost more than a load', (t) => {
   const plan = planRollout(viewOf(enginesOf([2, 2, 2, 2]), BUSY), SETTINGS, 4_000);
-  t.is(plan?.reason, RolloutReason.Worth);
+  t.is(plan?.reason, RolloutReason.Profitable);
   t.is(plan?.version, 3);
 });
 
@@ -105,7 +105,7 @@
 
 test('the request rate is the mean over the last complete spans', (t) => {
   const rate = new SendRate();
-  for (let nowMs = 0; nowMs < 6_000; nowMs += 100) rate.note(MODEL, 1, nowMs);
+  for (let nowMs = 0; nowMs < 6_000; nowMs += 100) rate.record(MODEL, 1, nowMs);
   t.is(rate.perSecond(MODEL, 6_000), 10);
   t.is(rate.perSecond(MODEL, 7_500), 5);
   t.is(rate.perSecond(MODEL, 60_000), 0);
--- a/test/gateway/weight-version-discovery.test.ts
+++ b/test/gateway/weight-version-discovery.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { WeightVersionDiscovery } from '../../src/coordination/gateway/weight-version-discovery.js';
 import { DECODER, SIMULATION_MODEL } from '../../src/lab/gateway-simulation/simulation-fixtures.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
 import { WeightVersions } from '../../src/state/routing/weight-versions.js';
@@ -27,109 +27,109 @@
   const versions = new WeightVersions(GRACE_MS, new StoreOutages());
   let announcements = 0;
   const startedMs = clock.now();
-  const parts = { versions, decoder: DECODER, startedMs, clock, logger: new SilentLogger() };
+  const parts = { versions, decoder: DECODER, startedMs, clock, logger: new NoopLogger() };
   const discovery = new WeightVersionDiscovery(parts, ASSUMED_AGE_MS, () => (announcements += 1));
   return { clock, versions, discovery, announcementCount: () => announcements };
 }
 
 test('a change from the first watch after a list may have been named before the watch started', async (t) => {
   const { clock, versions, discovery, announcementCount } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), false);
   await clock.advance(1_200);
-  discovery.takeChange(namedObject(2), false);
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.applyChange(namedObject(2), false);
+  discovery.recordResponse(clock.elapsed(), false);
   // Independent of the time of arrival: deadlines apply a fixed time after the start.
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), START_MS - ASSUMED_AGE_MS + GRACE_MS);
   t.is(announcementCount(), 0);
-  t.deepEqual(discovery.notices, []);
+  t.deepEqual(discovery.versionAnnouncements, []);
 });
 
 test('a change from a later watch has age zero and is announced', async (t) => {
   const { clock, versions, discovery, announcementCount } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), false);
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), false);
+  discovery.recordResponse(clock.elapsed(), false);
   await clock.advance(1_000);
-  discovery.takeChange(namedObject(2), false);
+  discovery.applyChange(namedObject(2), false);
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() + GRACE_MS);
   t.is(announcementCount(), 1);
 });
 
 test('an announcement by a router that observed the naming updates the age', async (t) => {
   const { clock, versions, discovery } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), false);
-  discovery.takeChange(namedObject(2), false);
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), false);
+  discovery.applyChange(namedObject(2), false);
+  discovery.recordResponse(clock.elapsed(), false);
   discovery.receive({ model: SIMULATION_MODEL, version: 2, ageMs: 2_500 });
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 2_500 + GRACE_MS);
 });
 
 test('a change found after a failed watch may have been named since the last proof', async (t) => {
   const { clock, versions, discovery, announcementCount } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), false);
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), false);
+  discovery.recordResponse(clock.elapsed(), false);
   // The connection is unresponsive: the watch ends by its timeout.
   await clock.advance(3_800);
   discovery.noteFailure();
-  discovery.takeChange(namedObject(2), false);
+  discovery.applyChange(namedObject(2), false);
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 3_800 + GRACE_MS);
   t.is(announcementCount(), 0);
-  t.deepEqual(discovery.notices, []);
+  t.deepEqual(discovery.versionAnnouncements, []);
 });
 
 test('after a response, changes are dated by their arrival again', async (t) => {
   const { clock, versions, discovery } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), false);
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), false);
+  discovery.recordResponse(clock.elapsed(), false);
   await clock.advance(3_800);
   discovery.noteFailure();
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.recordResponse(clock.elapsed(), false);
   await clock.advance(1_000);
-  discovery.takeChange(namedObject(2), false);
+  discovery.applyChange(namedObject(2), false);
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() + GRACE_MS);
 });
 
 test('a change relayed by another router is dated by the last proof and not announced', async (t) => {
   const { clock, versions, discovery, announcementCount } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), true);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), true);
   const proven = clock.elapsed();
-  discovery.noteAnswer(proven, true);
+  discovery.recordResponse(proven, true);
   // Responses continue, but their proof does not advance, as the relaying router's connection is
   // unresponsive.
   await clock.advance(1_300);
-  discovery.noteAnswer(proven, true);
+  discovery.recordResponse(proven, true);
   await clock.advance(100);
-  discovery.takeChange(namedObject(2), true);
+  discovery.applyChange(namedObject(2), true);
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 1_400 + GRACE_MS);
   t.is(announcementCount(), 0);
-  t.deepEqual(discovery.notices, []);
+  t.deepEqual(discovery.versionAnnouncements, []);
 });
 
 test('the first direct change after relayed responses is dated by the last proof', async (t) => {
   const { clock, versions, discovery } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), true);
-  discovery.noteAnswer(clock.elapsed(), true);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), true);
+  discovery.recordResponse(clock.elapsed(), true);
   await clock.advance(1_500);
-  discovery.takeChange(namedObject(2), false);
+  discovery.applyChange(namedObject(2), false);
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 1_500 + GRACE_MS);
 });
 
 test('a version named at the end of an outage is not dated before the outage', async (t) => {
   const { clock, versions, discovery } = await discoveryHarness();
-  discovery.takeList([namedObject(1)]);
-  discovery.noteAnswer(clock.elapsed(), false);
-  discovery.noteAnswer(clock.elapsed(), false);
+  discovery.applyList([namedObject(1)]);
+  discovery.recordResponse(clock.elapsed(), false);
+  discovery.recordResponse(clock.elapsed(), false);
   await clock.advance(2_500);
   discovery.noteFailure();
   await clock.advance(6_000);
   discovery.noteFailure();
-  discovery.takeChange(namedObject(2), false);
+  discovery.applyChange(namedObject(2), false);
   // The time since the first failure, which does not count towards the deadline.
   t.is(versions.dueMs(SIMULATION_MODEL, 1, clock.now()), clock.now() - 6_000 + GRACE_MS);
 });
--- a/test/gateway/weight-versions.test.ts
+++ b/test/gateway/weight-versions.test.ts
@@ -34,7 +34,7 @@
       const versions = new WeightVersions(GRACE_MS, new StoreOutages());
       let newest = 0;
       for (const note of notes) {
-        t.is(versions.note(MODEL, note), note.version > newest);
+        t.is(versions.record(MODEL, note), note.version > newest);
         newest = Math.max(newest, note.version);
       }
       const times = [...mostReliableTimes(notes)].sort(([left], [right]) => left - right);
@@ -52,24 +52,24 @@
 
 test('only recent versions with an observed publication are returned', (t) => {
   const versions = new WeightVersions(GRACE_MS, new StoreOutages());
-  versions.note(MODEL, { version: 2, namedMs: 1_000, isWitnessed: true });
-  versions.note(MODEL, { version: 3, namedMs: 2_000, isWitnessed: false });
-  versions.note(MODEL, { version: 4, namedMs: 3_000, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 1_000, isWitnessed: true });
+  versions.record(MODEL, { version: 3, namedMs: 2_000, isWitnessed: false });
+  versions.record(MODEL, { version: 4, namedMs: 3_000, isWitnessed: true });
   const returned = (sinceMs: number): number[] =>
-    versions.witnessedSince(MODEL, sinceMs).map(({ version }) => version);
+    versions.observedSince(MODEL, sinceMs).map(({ version }) => version);
   t.deepEqual(returned(0), [2, 4]);
   t.deepEqual(returned(1_500), [4]);
 });
 
 test('the publication rate follows from the intervals between versions and the time since the last', (t) => {
   const versions = new WeightVersions(GRACE_MS, new StoreOutages());
-  const rate = (nowMs: number): number => versions.namesPerSecond(MODEL, 20_000, nowMs);
+  const rate = (nowMs: number): number => versions.publicationsPerSecond(MODEL, 20_000, nowMs);
   t.is(rate(2_000), 0);
-  versions.note(MODEL, { version: 2, namedMs: 2_000, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 2_000, isWitnessed: true });
   t.is(rate(2_000), 0.05);
-  versions.note(MODEL, { version: 3, namedMs: 6_000, isWitnessed: true });
+  versions.record(MODEL, { version: 3, namedMs: 6_000, isWitnessed: true });
   t.is(rate(6_000), 0.25);
-  versions.note(MODEL, { version: 4, namedMs: 10_000, isWitnessed: true });
+  versions.record(MODEL, { version: 4, namedMs: 10_000, isWitnessed: true });
   t.is(rate(14_000), 0.25);
   // Two intervals of 4 s, and 6 s since the last version.
   t.is(rate(16_000), 0.2);
--- a/test/helpers/batching-engine.ts
+++ b/test/helpers/batching-engine.ts
@@ -13,15 +13,15 @@
   readonly stepMs: number;
   readonly readTokensPerMs: number;
   /** Maximum number of prompt tokens prefilled in one step. */
-  readonly pieceTokens: number;
+  readonly chunkTokens: number;
   readonly tokensPerEvent: number;
   /** Slowdown relative to the other engines, 1 or more. */
-  readonly slowness: number;
+  readonly slowdownFactor: number;
 }
 
 /** A stream sent to an engine. */
 export interface BatchedStream {
-  readonly subject: string;
+  readonly affinityKey: string;
   readonly sharedTokens: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
@@ -81,7 +81,7 @@
       return;
     }
     const read = this.read();
-    const { stepMs, readTokensPerMs, slowness } = this.profile;
+    const { stepMs, readTokensPerMs, slowdownFactor: slowness } = this.profile;
     const durationMs = (stepMs + read / readTokensPerMs) * slowness;
     this.timer = this.clock.setTimer(durationMs, () => {
       this.generate();
@@ -95,7 +95,7 @@
       const { stream } = next;
       if (this.usedTokens() + sizeOf(stream) > this.profile.cacheTokens) return;
       this.waiting.shift();
-      const found = Math.max(this.cachedTokens(stream.subject), stream.fetchableTokens);
+      const found = Math.max(this.cachedTokens(stream.affinityKey), stream.fetchableTokens);
       next.unreadTokens = stream.promptTokens - Math.min(found, stream.sharedTokens);
       this.running.push(next);
     }
@@ -103,14 +103,14 @@
 
   /** Prefills one chunk, earliest admitted prompts first; returns the number of tokens. */
   private read(): number {
-    let remainingTokens = this.profile.pieceTokens;
+    let remainingTokens = this.profile.chunkTokens;
     for (const each of this.running) {
       const chunk = Math.min(remainingTokens, each.unreadTokens);
       each.unreadTokens -= chunk;
       remainingTokens -= chunk;
       if (remainingTokens === 0) break;
     }
-    const read = this.profile.pieceTokens - remainingTokens;
+    const read = this.profile.chunkTokens - remainingTokens;
     this.readTokens += read;
     return read;
   }
@@ -129,7 +129,7 @@
     }
   }
 
-  private cachePrefix({ subject, sharedTokens }: BatchedStream): void {
+  private cachePrefix({ affinityKey: subject, sharedTokens }: BatchedStream): void {
     this.cachedPrefixes.delete(subject);
     this.cachedPrefixes.set(subject, sharedTokens);
     let cachedTokens = [...this.cachedPrefixes.values()].reduce((sum, tokens) => sum + tokens, 0);
--- a/test/helpers/coordinator-harness.ts
+++ b/test/helpers/coordinator-harness.ts
@@ -8,11 +8,11 @@
 import { WeightCoordinator } from '../../src/coordination/gateway/weight-coordinator.js';
 import type {
   InferencePort,
-  OrderResult,
-  WeightOrder,
+  LoadCommandResult,
+  LoadCommandRequest,
   WeightState,
 } from '../../src/protocol/inference/port.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { EngineHealth } from '../../src/state/routing/engine-health.js';
 import { EngineRegistry } from '../../src/state/routing/engine-registry.js';
@@ -29,10 +29,10 @@
 
 /** State and responses of the engine. */
 export interface CoordinatorOptions {
-  readonly bornMs?: number;
+  readonly startedAtMs?: number;
   readonly isKnownService?: boolean;
   state?(): Partial<WeightState>;
-  order?(): Promise<OrderResult>;
+  order?(): Promise<LoadCommandResult>;
 }
 
 /** Creates and starts a coordinator that holds the lease, with one engine with outdated weights. */
@@ -41,15 +41,15 @@
   const registry = new EngineRegistry();
   const restarts: EngineRestart[] = [];
   const statistics = new GatewayStatistics();
-  const logger = new SilentLogger();
+  const logger = new NoopLogger();
   const incarnations = new EngineIncarnationTracker(registry, statistics, logger);
   incarnations.connect({
     onChanged: () => undefined,
     onRestarted: (restart) => restarts.push(restart),
   });
-  incarnations.applyEntry(engineRecord('engine-0', options.bornMs));
+  incarnations.applyEntry(engineRecord('engine-0', options.startedAtMs));
   const versions = new WeightVersions(1_000, new StoreOutages());
-  versions.note(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
+  versions.record(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
   const lease = {
     activeToken: 7 as number | undefined,
     heldRevision: 1,
@@ -59,10 +59,10 @@
   };
   const announcedMs: number[] = [];
   const orderedMs: number[] = [];
-  const orders: WeightOrder[] = [];
+  const orders: LoadCommandRequest[] = [];
   const engines = {
     weightState: () => Promise.resolve({ ...STATE, ...options.state?.() }),
-    order: (_endpoint: unknown, order: WeightOrder) => {
+    order: (_endpoint: unknown, order: LoadCommandRequest) => {
       orderedMs.push(clock.now());
       orders.push(order);
       return options.order?.() ?? Promise.resolve({ kind: 'accepted' as const });
@@ -76,7 +76,7 @@
       versions,
       loads: new LoadTable(),
       health,
-      kept: new CachedPrefixes(),
+      cachedPrefixes: new CachedPrefixes(),
       engines: engines as unknown as InferencePort,
       lease: lease as unknown as LeaseKeeper,
       requestRate: new SendRate(),
--- a/test/helpers/crash-announcement-harness.ts
+++ b/test/helpers/crash-announcement-harness.ts
@@ -10,12 +10,12 @@
   SimulatedDatagramTransport,
   SimulatedSockets,
 } from '../../src/lab/simulation/simulated-transports.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { LoadTable } from '../../src/state/routing/load-table.js';
 import { countingDatagrams } from './counting-datagrams.js';
-import { silentGroupEvents } from './silent-group-events.js';
+import { noopGroupEvents } from './noop-group-events.js';
 
 /** One router of the group. */
 export interface Peer {
@@ -41,16 +41,16 @@
       policy: undefined,
       statistics: new GatewayStatistics(),
       clock: host,
-      logger: new SilentLogger(),
+      logger: new NoopLogger(),
       announce: () => group.reportNow(),
     });
     const events = {
-      ...silentGroupEvents({
-        takeCrashNews: () => guard.takeNews(),
-        onCrashNews: (announcements, isRelayed) => guard.receive(announcements, isRelayed),
+      ...noopGroupEvents({
+        takeCrashAnnouncements: () => guard.takeAnnouncements(),
+        onCrashAnnouncements: (announcements, isRelayed) => guard.receive(announcements, isRelayed),
       }),
       get hasCrashNews(): boolean {
-        return guard.hasNews;
+        return guard.hasAnnouncements;
       },
     };
     const address = `${name}:7000`;
@@ -74,7 +74,7 @@
       events,
       host,
       new SeededRandom(100 + index),
-      new SilentLogger(),
+      new NoopLogger(),
     );
     group.start();
     const peer = { guard, group };
--- a/test/helpers/engine-record.ts
+++ b/test/helpers/engine-record.ts
@@ -11,7 +11,7 @@
   return {
     id: incarnationOf(name, startedAtMs),
     name,
-    bornMs: startedAtMs,
+    startedAtMs,
     service: 'generation',
     address: `${name}:1`,
     zone: 'zone-a',
--- a/test/helpers/group-harness.ts
+++ b/test/helpers/group-harness.ts
@@ -9,7 +9,7 @@
   SimulatedDatagramTransport,
   SimulatedSockets,
 } from '../../src/lab/simulation/simulated-transports.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 
@@ -78,11 +78,11 @@
       events,
       host,
       random,
-      new SilentLogger(),
+      new NoopLogger(),
     );
     group.start();
     const statistics = new GatewayStatistics();
-    const directory = new Directory(group, random, statistics, new SilentLogger());
+    const directory = new Directory(group, random, statistics, new NoopLogger());
     this.routers[index] = { name, host, group, directory };
   }
 
--- a/test/helpers/silent-follower-events.ts
+++ b/test/helpers/noop-follower-events.ts
@@ -2,15 +2,15 @@
 import type { FollowerEvents } from '../../src/coordination/gateway/object-follower.js';
 
 /** @param events handlers that replace the ones that do nothing */
-export function silentFollowerEvents(events: Partial<FollowerEvents> = {}): FollowerEvents {
+export function noopFollowerEvents(events: Partial<FollowerEvents> = {}): FollowerEvents {
   return {
     onList: () => undefined,
     onObject: () => undefined,
-    onGone: () => undefined,
+    onRemoved: () => undefined,
     onUnnamed: () => undefined,
     onAnswer: () => undefined,
     onFailure: () => undefined,
-    onHistoryGone: () => undefined,
+    onHistoryLost: () => undefined,
     onRestored: () => undefined,
     ...events,
   };
--- a/test/helpers/silent-group-events.ts
+++ b/test/helpers/noop-group-events.ts
@@ -2,19 +2,19 @@
 import type { GroupEvents } from '../../src/coordination/gateway/group-reports.js';
 
 /** @param events members that replace the empty announcements and the handlers that do nothing */
-export function silentGroupEvents(events: Partial<GroupEvents> = {}): GroupEvents {
+export function noopGroupEvents(events: Partial<GroupEvents> = {}): GroupEvents {
   return {
-    weightsNews: () => [],
-    onWeightsNews: () => undefined,
+    weightLoadAnnouncements: () => [],
+    onWeightLoadAnnouncement: () => undefined,
     versionAnnouncements: () => [],
     onVersionAnnouncement: () => undefined,
     heldLease: () => undefined,
     onHeldLease: () => undefined,
-    hasCrashNews: false,
+    hasCrashAnnouncements: false,
     limitAnnouncements: () => [],
     onLimitAnnouncement: () => undefined,
-    takeCrashNews: () => ({ crashes: [], quarantine: [] }),
-    onCrashNews: () => false,
+    takeCrashAnnouncements: () => ({ crashes: [], quarantine: [] }),
+    onCrashAnnouncements: () => false,
     ...events,
   };
 }
--- a/test/helpers/placement-harness.ts
+++ b/test/helpers/placement-harness.ts
@@ -15,7 +15,7 @@
 import { StorePressure } from '../../src/state/routing/save-choice.js';
 import { StoreOutages } from '../../src/state/routing/store-outages.js';
 import { WeightVersions } from '../../src/state/routing/weight-versions.js';
-import { LoadShare } from '../../src/coordination/gateway/load-share.js';
+import { SendLoad } from '../../src/coordination/gateway/send-load.js';
 import { BatchingEngine } from './batching-engine.js';
 import { engineRecord } from './engine-record.js';
 
@@ -117,9 +117,9 @@
         cacheTokens: CACHE_TOKENS,
         stepMs: 5.23,
         readTokensPerMs: 38.4,
-        pieceTokens: 4_096,
+        chunkTokens: 4_096,
         tokensPerEvent: 6,
-        slowness,
+        slowdownFactor: slowness,
       }),
     );
   }
@@ -128,7 +128,7 @@
     const tables = {
       loads: new LoadTable(),
       health: new EngineHealth(),
-      kept: new CachedPrefixes(),
+      cachedPrefixes: new CachedPrefixes(),
       versions: new WeightVersions(7_000, new StoreOutages()),
       random: new SeededRandom(this.scenario.seed * 1_000 + index),
       homes,
@@ -200,7 +200,7 @@
         stores: [],
         storePressure: StorePressure.High,
         connectionShare: SLOTS,
-        turns: { wallMs: 0, interval: undefined },
+        slotView: { wallMs: 0, interval: undefined },
       },
       router.tables,
       this.clock.now(),
@@ -210,7 +210,7 @@
       return;
     }
     const { id } = placement.engine.record;
-    const load = new LoadShare(router.tables.loads, id, generation, placement.unreadTokens);
+    const load = new SendLoad(router.tables.loads, id, generation, placement.unreadTokens);
     const engine = this.engines[Number(id.slice('engine-'.length))] as BatchingEngine;
     const sentMs = this.clock.now();
     let lastMs: number | undefined;
@@ -219,7 +219,7 @@
     const sharedTokens = generation.parts[0]?.tokens ?? 0;
     this.clock.setTimer(NETWORK_DELAY_MS, () =>
       engine.send({
-        subject: generation.parts[0]?.id ?? '',
+        affinityKey: generation.parts[0]?.id ?? '',
         sharedTokens,
         promptTokens: generation.promptTokens,
         outputTokens: generation.maximumOutputTokens,
@@ -231,7 +231,7 @@
             isLateFirst = now - sentMs > kind.firstTokenObjectiveMs;
             load.notePromptRead();
             const salt = placement.cacheSalt ?? '';
-            router.tables.kept.notePrompt(id, salt, generation.parts);
+            router.tables.cachedPrefixes.recordPrompt(id, salt, generation.parts);
           } else if (now - lastMs > kind.maximumPauseMs) isLatePause = true;
           lastMs = now;
         },
--- a/test/helpers/processes.ts
+++ b/test/helpers/processes.ts
@@ -24,7 +24,7 @@
   }
 
   /** Waits for the first log line of an event and returns the value of a field. */
-  async field(event: string, name: string): Promise<string> {
+  async waitForLogField(event: string, name: string): Promise<string> {
     const pattern = new RegExp(`event=${event} .*\\b${name}=(\\S+)`);
     return waitFor(() => pattern.exec(this.output)?.[1], `${event} in:\n${this.output}`);
   }
--- a/test/helpers/quota-harness.ts
+++ b/test/helpers/quota-harness.ts
@@ -19,7 +19,7 @@
 import type { HostClock } from '../../src/lab/simulation/host-clock.js';
 import { createHasher } from '../../src/runtime/hasher.js';
 import { ElapsedInstant } from '../../src/runtime/elapsed-instant.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { type GroupRouter, GroupHarness } from './group-harness.js';
 
@@ -136,9 +136,9 @@
   quotaOwnerOf(tenant: string): number {
     const { routers } = this.group;
     const addresses = routers.map(({ group }) => group.own.gossipAddress);
-    const liveness = { silenceMs: () => 0, isMissing: () => false };
+    const liveness = { heartbeatAgeMs: () => 0, isMissing: () => false };
     const ranking = new QuotaOwnerRanking(this.homes, liveness);
-    return addresses.indexOf(ranking.of(tenant, addresses, this.now)[0] as string);
+    return addresses.indexOf(ranking.candidates(tenant, addresses, this.now)[0] as string);
   }
 
   /** Kills all routers and restarts them after a delay. */
@@ -214,7 +214,7 @@
       decidedMs: 0,
     };
     this.charges.push(charge);
-    const configuredTenant = attachedQuotas.configuration.current?.findTenantNamed(tenant.name);
+    const configuredTenant = attachedQuotas.configuration.current?.findTenantByName(tenant.name);
     attachedQuotas.quotas.admit(configuredTenant, tokens, (decision) => {
       charge.outcome = decision.kind;
       charge.decidedMs = this.now;
@@ -264,7 +264,7 @@
       tolerance: TOLERANCE,
       statistics: this.statistics,
       clock: host,
-      logger: new SilentLogger(),
+      logger: new NoopLogger(),
     });
     group.onQuotaDatagram = (body) => quotas.receive(body);
     return { host, quotas, configuration };
@@ -272,7 +272,7 @@
 
   private configure(configuration: ConfigurationState): void {
     const tenants = this.tenants.map(tenantOf);
-    configuration.adopt(
+    configuration.apply(
       {
         version: this.configurationVersion,
         tenants,
--- a/test/helpers/relay-harness.ts
+++ b/test/helpers/relay-harness.ts
@@ -14,7 +14,7 @@
   SimulatedFrameTransport,
   SimulatedSockets,
 } from '../../src/lab/simulation/simulated-transports.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 import { StoreEras } from '../../src/state/routing/store-eras.js';
@@ -26,7 +26,7 @@
   routersPerReader: 40,
   minimumReaders: 1,
   watchMs: 600,
-  freshMs: 1_400,
+  maximumProofAgeMs: 1_400,
 };
 
 /** Update of a working router; all routers are in the same zone. */
@@ -88,7 +88,7 @@
     const port = new SimulatedStorePort(this.store, own.nodeId, host);
     const frames = new SimulatedFrameTransport(this.sockets, own.nodeId, host);
     const mirrors = new ObjectMirrors();
-    const server = new RelayServer(mirrors, SETTINGS.freshMs, host);
+    const server = new RelayServer(mirrors, SETTINGS.maximumProofAgeMs, host);
     const client = new RelayClient(frames, host);
     await frames.listen(own.gossipAddress, (connection) => server.accept(connection));
     const counted = Object.create(port) as SimulatedStorePort;
@@ -96,7 +96,7 @@
       this.calls[index] = (this.calls[index] ?? 0) + 1;
       return port.watch(kind, position, waitMs);
     };
-    const logger = new SilentLogger();
+    const logger = new NoopLogger();
     const group = { working, seeds: working.map((each) => each.gossipAddress) };
     const random = new SeededRandom(100 + index);
     const eras = new StoreEras(true);
--- a/test/logs.test.ts
+++ b/test/logs.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { parseLogLine } from '../src/operator/log-line.js';
 import { LogSummary } from '../src/operator/log-summary.js';
-import { RequestTimeline } from '../src/operator/request-story.js';
+import { RequestTimeline } from '../src/operator/request-timeline.js';
 import { ConsoleLogger } from '../src/telemetry/console-logger.js';
 
 const BASE = '2026-06-21T12:40:0';
--- a/test/platform/engine-exchange.test.ts
+++ b/test/platform/engine-exchange.test.ts
@@ -3,7 +3,7 @@
 import test, { type ExecutionContext } from 'ava';
 import { EngineClient } from '../../platform/engine-client.js';
 import type {
-  AnswerHead,
+  ResponseHead,
   EngineNotice,
   ExchangeFailure,
   ForwardedRequest,
@@ -36,7 +36,7 @@
 
 interface Outcome {
   notice?: EngineNotice;
-  head?: AnswerHead;
+  head?: ResponseHead;
   body: string;
   end: 'whole' | ExchangeFailure;
 }
--- a/test/platform/engine-incarnations.test.ts
+++ b/test/platform/engine-incarnations.test.ts
@@ -3,10 +3,10 @@
 import type { AddressInfo } from 'node:net';
 import test, { type ExecutionContext } from 'ava';
 import { EngineClient } from '../../platform/engine-client.js';
-import type { EngineEndpoint, WeightOrder } from '../../src/protocol/inference/port.js';
+import type { EngineEndpoint, LoadCommandRequest } from '../../src/protocol/inference/port.js';
 
 const STARTED_AT_MS = 1_764_720_000_123;
-const LOAD_COMMAND: WeightOrder = {
+const LOAD_COMMAND: LoadCommandRequest = {
   model: 'model-a',
   version: 2,
   holder: 'router-0',
@@ -44,18 +44,18 @@
     born: STARTED_AT_MS,
   });
   const client = new EngineClient();
-  t.is((await client.weightState(endpoint, 'model-a'))?.bornMs, STARTED_AT_MS);
-  t.is((await client.cacheEvents(endpoint.address, 0, 1)).bornMs, STARTED_AT_MS);
-  t.is((await client.cacheContents(endpoint.address)).bornMs, STARTED_AT_MS);
+  t.is((await client.readWeightState(endpoint, 'model-a'))?.startedAtMs, STARTED_AT_MS);
+  t.is((await client.cacheEvents(endpoint.address, 0, 1)).startedAtMs, STARTED_AT_MS);
+  t.is((await client.cacheContents(endpoint.address)).startedAtMs, STARTED_AT_MS);
   t.is(named[0], 'i-1');
 });
 
 test('a response without a start time is accepted, one with an invalid start time is rejected', async (t) => {
   const undated = await startEngine(t, 200, { ...REPORT, ...FEED });
-  const undatedState = await new EngineClient().weightState(undated.endpoint, 'model-a');
-  t.like(undatedState, { bornMs: undefined, version: 1 });
+  const undatedState = await new EngineClient().readWeightState(undated.endpoint, 'model-a');
+  t.like(undatedState, { startedAtMs: undefined, version: 1 });
   const invalid = await startEngine(t, 200, { ...REPORT, born: 'yesterday' });
-  t.is(await new EngineClient().weightState(invalid.endpoint, 'model-a'), undefined);
+  t.is(await new EngineClient().readWeightState(invalid.endpoint, 'model-a'), undefined);
 });
 
 for (const [status, kind] of [
@@ -66,15 +66,23 @@
   test(`the result of a load command with status ${status} contains the start time of the incarnation`, async (t) => {
     const client = new EngineClient();
     const { endpoint, named } = await startEngine(t, status, { born: STARTED_AT_MS });
-    t.like(await client.order(endpoint, LOAD_COMMAND), { kind, bornMs: STARTED_AT_MS });
+    t.like(await client.sendLoadCommand(endpoint, LOAD_COMMAND), {
+      kind,
+      startedAtMs: STARTED_AT_MS,
+    });
     t.is(named[0], 'i-1');
     const withoutBody = await startEngine(t, status, undefined);
-    const resultWithoutBody = await new EngineClient().order(withoutBody.endpoint, LOAD_COMMAND);
-    t.like(resultWithoutBody, { kind, bornMs: undefined });
+    const resultWithoutBody = await new EngineClient().sendLoadCommand(
+      withoutBody.endpoint,
+      LOAD_COMMAND,
+    );
+    t.like(resultWithoutBody, { kind, startedAtMs: undefined });
   });
 }
 
 test('a load command that another engine rejects results in replaced', async (t) => {
   const { endpoint } = await startEngine(t, 421, { born: STARTED_AT_MS });
-  t.deepEqual(await new EngineClient().order(endpoint, LOAD_COMMAND), { kind: 'replaced' });
+  t.deepEqual(await new EngineClient().sendLoadCommand(endpoint, LOAD_COMMAND), {
+    kind: 'replaced',
+  });
 });
--- a/test/platform/json-call.test.ts
+++ b/test/platform/json-client.test.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import test from 'ava';
-import { JsonClient } from '../../platform/json-call.js';
+import { JsonClient } from '../../platform/json-client.js';
 
 const RESPONSE_DELAY_MS = 20;
 const TIMEOUT_MS = 400;
--- a/test/platform/malformed-entries.test.ts
+++ b/test/platform/malformed-entries.test.ts
@@ -50,12 +50,12 @@
   });
   t.like(decoded, {
     kind: 'value',
-    value: { id: `i-1@${STARTED_AT_MS}`, name: 'i-1', bornMs: STARTED_AT_MS },
+    value: { id: `i-1@${STARTED_AT_MS}`, name: 'i-1', startedAtMs: STARTED_AT_MS },
   });
   const { born, ...older } = VALID_SPEC;
   const undated = platformDecoder.engine({ name: 'i-1', position: positionAt(1), spec: older });
   t.is(born, STARTED_AT_MS);
-  t.like(undated, { kind: 'value', value: { id: 'i-1', name: 'i-1', bornMs: undefined } });
+  t.like(undated, { kind: 'value', value: { id: 'i-1', name: 'i-1', startedAtMs: undefined } });
 });
 
 for (const [what, spec] of MALFORMED_SPECS) {
@@ -66,27 +66,27 @@
       position: positionAt(2),
       spec: { ...VALID_SPEC, address: '10.0.0.2:8080' },
     };
-    harness.list.takeAll([{ name: 'i-1', position: positionAt(1), spec: VALID_SPEC }, other]);
+    harness.list.applyAll([{ name: 'i-1', position: positionAt(1), spec: VALID_SPEC }, other]);
     const malformed = { name: 'i-1', position: positionAt(3), spec };
-    harness.list.take(malformed);
-    harness.list.take(malformed);
-    harness.list.takeAll([malformed, other]);
+    harness.list.apply(malformed);
+    harness.list.apply(malformed);
+    harness.list.applyAll([malformed, other]);
     t.deepEqual([...harness.registry.names], ['i-2']);
     t.is(harness.statistics.oddEntries, 1);
     t.deepEqual(
       harness.log.of('entry_odd').map(({ key, revision }) => [key, revision]),
       [['i-1', 3]],
     );
-    harness.list.take({ name: 'i-1', position: positionAt(4), spec: VALID_SPEC });
+    harness.list.apply({ name: 'i-1', position: positionAt(4), spec: VALID_SPEC });
     t.is(harness.registry.names.size, 2);
   });
 }
 
 test('an entry without a start time is malformed if an earlier one had it', (t) => {
   const harness = new EngineListHarness({ decoder: platformDecoder });
-  harness.list.takeAll([{ name: 'i-1', position: positionAt(1), spec: VALID_SPEC }]);
+  harness.list.applyAll([{ name: 'i-1', position: positionAt(1), spec: VALID_SPEC }]);
   for (const revision of [2, 3]) {
-    harness.list.take({
+    harness.list.apply({
       name: 'i-1',
       position: positionAt(revision),
       spec: { ...VALID_SPEC, born: undefined },
@@ -99,7 +99,7 @@
 test('an entry of a service that is not configured is counted and serves no other service', (t) => {
   const harness = new EngineListHarness({ decoder: platformDecoder, services: ['llm'] });
   const spec = { ...VALID_SPEC, service: 'other' };
-  harness.list.takeAll([{ name: 'i-1', position: positionAt(1), spec }]);
+  harness.list.applyAll([{ name: 'i-1', position: positionAt(1), spec }]);
   t.is(harness.statistics.oddEntries, 1);
   t.deepEqual(harness.registry.readyOf('llm'), []);
 });
@@ -119,13 +119,13 @@
   const LONG = 'x'.repeat(100_000);
   for (let index = 0; index < 3_000; index += 1) {
     const spec = { ...VALID_SPEC, [LONG]: 1, state: LONG };
-    harness.list.take({ name: `${index}-${LONG}`, position: positionAt(index), spec });
+    harness.list.apply({ name: `${index}-${LONG}`, position: positionAt(index), spec });
   }
   t.is(harness.statistics.oddEntries, 3_000);
   t.is(harness.log.lines.length, 20);
   t.true(JSON.stringify(harness.log.lines).length < 10_000);
   await harness.clock.advance(60_000);
-  harness.list.take({ name: 'i-1', position: positionAt(1), spec: null });
+  harness.list.apply({ name: 'i-1', position: positionAt(1), spec: null });
   t.like(harness.log.of('entry_odd').at(-1), { key: 'i-1', suppressed: 2_980 });
 });
 
@@ -146,7 +146,7 @@
     const { port } = parseAddress(value.address);
     t.true(port > 0 && port < 65_536);
     t.true(Number.isSafeInteger(value.slots) && value.slots > 0);
-    t.true(value.bornMs === undefined || Number.isSafeInteger(value.bornMs));
+    t.true(value.startedAtMs === undefined || Number.isSafeInteger(value.startedAtMs));
     for (const version of value.modelVersions.values()) t.true(Number.isSafeInteger(version));
   });
   fc.assert(property, SEED);
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -26,7 +26,7 @@
 async function startEngine(id: string, platformAddress: string, zone: string): Promise<Program> {
   const weights = ['--model', 'model', '--weights-digest', 'weights-one'];
   const engine = new Program(['lab', 'engine', '--id', id, '--http', ANY_PORT, ...weights]);
-  const address = await engine.field('engine_started', 'address');
+  const address = await engine.waitForLogField('engine_started', 'address');
   const machine = { id, kind: 'engine', address, zone, site: 'old' };
   await fetch(`http://${platformAddress}/machines/${id}`, {
     method: 'PUT',
@@ -52,7 +52,9 @@
   };
   writeFileSync(file, stringify(settings));
   const router = new Program(['router', '--settings', file]);
-  await waitUntilOk(`http://${await router.field('operations_started', 'address')}/readyz`);
+  await waitUntilOk(
+    `http://${await router.waitForLogField('operations_started', 'address')}/readyz`,
+  );
   return router;
 }
 
@@ -71,18 +73,20 @@
     '--templates',
     templatesFile,
   ]);
-  const platformAddress = await platform.field('platform_started', 'address');
+  const platformAddress = await platform.waitForLogField('platform_started', 'address');
   const engines = [
     await startEngine('engine-1', platformAddress, 'zone-a'),
     await startEngine('engine-2', platformAddress, 'zone-b'),
     await startEngine('engine-3', platformAddress, 'zone-a'),
   ];
   const first = await startRouter('router-1', folder, platformAddress, []);
-  const seeds = [await first.field('router_started', 'gossip')];
+  const seeds = [await first.waitForLogField('router_started', 'gossip')];
   const second = await startRouter('router-2', folder, platformAddress, seeds);
   const third = await startRouter('router-3', folder, platformAddress, seeds);
   const routers = [first, second, third];
-  const peers = await Promise.all(routers.map((each) => each.field('router_started', 'peer')));
+  const peers = await Promise.all(
+    routers.map((each) => each.waitForLogField('router_started', 'peer')),
+  );
   const agent = new Program([
     ...[
       'agent',
@@ -97,8 +101,10 @@
     ],
     ...peers.flatMap((peer) => ['--router', peer]),
   ]);
-  await waitUntilOk(`http://${await agent.field('operations_started', 'address')}/readyz`);
-  const agentAddress = await agent.field('caller_api_started', 'address');
+  await waitUntilOk(
+    `http://${await agent.waitForLogField('operations_started', 'address')}/readyz`,
+  );
+  const agentAddress = await agent.waitForLogField('caller_api_started', 'address');
   t.teardown(() => {
     for (const each of [platform, agent, ...engines, ...routers]) each.kill('SIGKILL');
   });
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test from 'ava';
-import { buildEarlier, productionCommit } from '../soak/earlier-build.js';
+import { buildCommit, productionCommit } from '../soak/earlier-build.js';
 import { BUNDLE, runSoak } from '../soak/soak-run.js';
 
 /** A seed with which a promise was broken. */
@@ -77,7 +77,7 @@
     t.timeout(170_000);
     const folder = mkdtempSync(join(tmpdir(), `peatspan-soak-${seed}-`));
     const spanMs = seconds * 1_000;
-    const earlier = isMixed ? buildEarlier(productionCommit()) : undefined;
+    const earlier = isMixed ? buildCommit(productionCommit()) : undefined;
     const result = await runSoak({
       seed,
       spanMs,
--- a/test/template-store.test.ts
+++ b/test/template-store.test.ts
@@ -52,8 +52,8 @@
   const outcome = await store.write(worldTemplates('v2', 0), 1, 'theirs');
   t.is(outcome.kind, 'conflict');
   if (outcome.kind !== 'conflict') return;
-  t.is(outcome.present.operationId, 'mine');
-  const differences = differencesBetween(worldTemplates('v1', 0), outcome.present.set);
+  t.is(outcome.current.operationId, 'mine');
+  const differences = differencesBetween(worldTemplates('v1', 0), outcome.current.set);
   t.deepEqual(
     differences.map(({ entry }) => entry),
     ['templates/standard'],
