--- a/src/lab/engine/block-cache.ts
+++ b/src/lab/engine/block-cache.ts
@@ -1,27 +1,27 @@
-/** The stand-in's cache of prompt blocks: limited, least recently used out first, leaves first. */
+/** The fake engine's cache of prompt blocks: fixed capacity, LRU eviction of leaf blocks. */
 
-/** What the cache remembers of a block, for use and for audits. */
+/** A cached block, with the data that reuse and audits need. */
 export interface CachedBlock {
   readonly hash: bigint;
   readonly parent: bigint | undefined;
   readonly weightsDigest: string;
-  /** Request that computed it. */
+  /** Identifier of the request that computed the block. */
   readonly createdBy: string;
-  /** Blocks that follow it; only a block without any may be evicted. */
+  /** Number of cached child blocks; only a block without children can be evicted. */
   children: number;
-  /** Running sequences that use it. */
+  /** Number of running sequences that use the block. */
   users: number;
-  /** Kept until this moment whatever else wants room. */
-  heldUntilMs: number;
+  /** The block isn't evicted before this time. */
+  pinnedUntilMs: number;
 }
 
-/** Receives changes of the cache. */
+/** Receives the changes of the cache. */
 export interface BlockCacheObserver {
   onStored(block: CachedBlock): void;
   onRemoved(block: CachedBlock): void;
 }
 
-/** Blocks by hash, in order of last use. */
+/** Cached blocks by hash, ordered from least to most recently used. */
 export class BlockCache {
   private readonly blocks = new Map<bigint, CachedBlock>();
 
@@ -34,19 +34,19 @@
     return this.blocks.size;
   }
 
-  /** Blocks kept, parents before children. */
+  /** Returns all cached blocks, parents before children. */
   parentsFirst(): CachedBlock[] {
     const ordered: CachedBlock[] = [];
-    const placed = new Set<bigint>();
+    const visited = new Set<bigint>();
     const place = (block: CachedBlock): void => {
       const path: CachedBlock[] = [];
       let current: CachedBlock | undefined = block;
-      while (current && !placed.has(current.hash)) {
+      while (current && !visited.has(current.hash)) {
         path.push(current);
         current = current.parent === undefined ? undefined : this.blocks.get(current.parent);
       }
       for (const entry of path.reverse()) {
-        placed.add(entry.hash);
+        visited.add(entry.hash);
         ordered.push(entry);
       }
     };
@@ -58,20 +58,20 @@
     return this.blocks.get(hash);
   }
 
-  /** The leading blocks of a chain that are kept; marks them used. */
+  /** Returns the leading blocks of a chain that are cached, and marks them as used. */
   match(chain: readonly bigint[]): CachedBlock[] {
-    const kept: CachedBlock[] = [];
+    const cached: CachedBlock[] = [];
     for (const hash of chain) {
       const block = this.blocks.get(hash);
       if (!block) break;
-      kept.push(block);
+      cached.push(block);
     }
-    // Touch from the leaf to the root, so that a root outlives its leaves.
-    for (const block of [...kept].reverse()) this.touch(block);
-    return kept;
+    // Touches the leaf first and the root last, so that leaves are evicted before their root.
+    for (const block of [...cached].reverse()) this.touch(block);
+    return cached;
   }
 
-  /** Stores a block where there is room or room can be made; answers whether it is kept. */
+  /** Stores a block, evicting another one if the cache is full; returns whether it is cached. */
   store(
     hash: bigint,
     parent: bigint | undefined,
@@ -79,9 +79,9 @@
     createdBy: string,
     nowMs: number,
   ): boolean {
-    const present = this.blocks.get(hash);
-    if (present) {
-      this.touch(present);
+    const existing = this.blocks.get(hash);
+    if (existing) {
+      this.touch(existing);
       return true;
     }
     const parentBlock = parent === undefined ? undefined : this.blocks.get(parent);
@@ -95,14 +95,14 @@
       createdBy,
       children: 0,
       users: 0,
-      heldUntilMs: 0,
+      pinnedUntilMs: 0,
     };
     this.blocks.set(hash, block);
     this.observer.onStored(block);
     return true;
   }
 
-  /** Removes a block and all that follow it. */
+  /** Removes a block and its descendants, except blocks in use. */
   drop(hash: bigint): void {
     const block = this.blocks.get(hash);
     if (!block) return;
@@ -112,7 +112,7 @@
     if (block.users === 0) this.remove(block);
   }
 
-  /** Forgets everything without a word, as a crash does. */
+  /** Removes all blocks without notifying the observer, as a crash does. */
   clear(): void {
     this.blocks.clear();
   }
@@ -124,7 +124,7 @@
 
   private evictOne(except: bigint | undefined, nowMs: number): boolean {
     for (const block of this.blocks.values()) {
-      const needed = block.children > 0 || block.users > 0 || block.heldUntilMs > nowMs;
+      const needed = block.children > 0 || block.users > 0 || block.pinnedUntilMs > nowMs;
       if (needed || block.hash === except) continue;
       this.remove(block);
       return true;
--- a/src/lab/engine/engine-core.ts
+++ b/src/lab/engine/engine-core.ts
@@ -1,7 +1,7 @@
 /**
- * The stand-in engine: continuous batching with chunked prefill, block cache, priorities, resumable
- * streams, events that come late, lagging load. It runs on an injected clock and does no I/O, so the
- * same engine serves the HTTP stand-in, the fuzz and the experiments.
+ * The fake engine: continuous batching with chunked prefill, a block cache, priorities, resumable
+ * streams, delayed cache events and delayed load reports. It runs on an injected clock and does no
+ * I/O, so the HTTP server, the fuzz tests and the experiments share it.
  */
 import type { Clock, Timer } from '../../runtime/clock.js';
 import type { Hasher } from '../../runtime/hasher.js';
@@ -30,7 +30,7 @@
 const EVENT_BATCH = 2_000;
 const MS_PER_SECOND = 1_000;
 
-/** A use of kept cache, for the oracle. */
+/** One reuse of a cached block, as reported to the oracle. */
 export interface ReuseAudit {
   readonly usedBy: string;
   readonly createdBy: string;
@@ -38,12 +38,12 @@
   readonly usedWeights: string;
 }
 
-/** Answer to a new generation. */
+/** Result of submitting a generation. */
 export type AcceptResult =
   | { readonly kind: 'accepted'; readonly sequence: EngineSequence }
   | { readonly kind: 'refused'; readonly reason: string };
 
-/** Totals for measurements. */
+/** Counters since the engine was created. */
 export interface EngineTotals {
   promptTokens: number;
   cachedTokens: number;
@@ -51,7 +51,7 @@
   accepted: number;
 }
 
-/** One stand-in engine. */
+/** One fake engine. */
 export class EngineCore {
   readonly totals: EngineTotals = {
     promptTokens: 0,
@@ -60,9 +60,9 @@
     accepted: 0,
   };
   readonly eventFaults: EventFaults;
-  /** Hears of each use of a kept block; set by tests. */
+  /** Called on each reuse of a cached block; set by tests. */
   onReuse: ((audit: ReuseAudit) => void) | undefined;
-  /** Hears of each generation taken; set by tests. */
+  /** Called on each accepted generation; set by tests. */
   onAccept: ((generation: EngineGeneration) => void) | undefined;
   leaving = false;
   private alive = true;
@@ -102,15 +102,15 @@
     return this.incarnation;
   }
 
-  /** Requests waiting or running. */
+  /** Number of requests that wait or run. */
   get activeRequests(): number {
     return this.queue.size;
   }
 
-  /** Takes a generation into the queue, or says why not; a refused one runs nothing. */
+  /** Queues a generation, or rejects it with a reason; a rejected generation doesn't run. */
   accept(generation: EngineGeneration): AcceptResult {
-    const refusal = this.refusalOf(generation);
-    if (refusal !== undefined) return { kind: 'refused', reason: refusal };
+    const rejectionReason = this.rejectionReasonOf(generation);
+    if (rejectionReason !== undefined) return { kind: 'refused', reason: rejectionReason };
     const sequence = this.createSequence(generation);
     this.sequences.set(generation.engineRequestId, sequence);
     this.queue.enqueue(sequence);
@@ -120,19 +120,19 @@
     return { kind: 'accepted', sequence };
   }
 
-  /** A stream by its request, while it is kept. */
+  /** Returns the sequence of a request until its retention time has passed. */
   find(engineRequestId: string): EngineSequence | undefined {
     return this.sequences.get(engineRequestId);
   }
 
-  /** Ends a request; what it computed stays cached. */
+  /** Ends a request; the blocks it computed stay cached. */
   cancel(engineRequestId: string): void {
     const sequence = this.sequences.get(engineRequestId);
     if (!sequence || sequence.ended) return;
     this.release(sequence, SequenceState.Cancelled);
   }
 
-  /** Status with the load as of some time ago. */
+  /** Returns the status; its load report may be up to `loadLagMs` old. */
   status(): EngineStatus {
     const { engineId, model, weightsDigest, adapterDigest } = this.settings;
     return {
@@ -146,7 +146,7 @@
     };
   }
 
-  /** Events from a number on; an empty batch where none is visible. */
+  /** Returns the visible events from a sequence number on; the batch may be empty. */
   events(fromSequence: number): EngineEventBatch {
     const events = this.log.read(fromSequence, this.clock.now(), EVENT_BATCH);
     const contiguous = events.filter(
@@ -160,17 +160,17 @@
     };
   }
 
-  /** Leading blocks of a chain that are kept, without marking them used: for perfect knowledge. */
+  /** Counts the leading cached blocks of a chain without marking them as used. */
   countKept(chain: readonly bigint[]): number {
     const missing = chain.findIndex((hash) => !this.cache.get(hash));
     return missing < 0 ? chain.length : missing;
   }
 
-  /** Load at this moment, without the lag of {@link status}. */
+  /** Returns the current load, without the delay of {@link status}. */
   presentLoad(): EngineLoadReport {
     let waitingTokens = 0;
     for (const sequence of this.queue.waiting) waitingTokens += sequence.promptTokens;
-    for (const sequence of this.queue.running) waitingTokens += sequence.prefillLeft;
+    for (const sequence of this.queue.running) waitingTokens += sequence.remainingPrefillTokens;
     return {
       waitingTokens,
       requests: this.activeRequests,
@@ -179,7 +179,7 @@
     };
   }
 
-  /** All kept blocks. */
+  /** Returns all cached blocks. */
   snapshot(): EngineSnapshot {
     const blocks = this.cache.parentsFirst().map((block) => ({
       kind: 'stored' as const,
@@ -189,13 +189,13 @@
     return { incarnation: this.incarnation, nextSequence: this.log.nextSequence, blocks };
   }
 
-  /** Hangs: takes requests and answers status, but computes nothing until released. */
+  /** Stalls the engine: it accepts requests and reports its status, but computes nothing. */
   setStalled(stalled: boolean): void {
     this.isStalled = stalled;
     if (!stalled) this.scheduleStep();
   }
 
-  /** Loses everything; refuses until {@link restart}. */
+  /** Loses all state; rejects requests until {@link restart}. */
   crash(): void {
     this.alive = false;
     this.stepTimer?.cancel();
@@ -211,7 +211,7 @@
     }
   }
 
-  /** Comes back empty under a new incarnation, perhaps with other weights. */
+  /** Starts a new incarnation with an empty cache, optionally with other weights. */
   restart(weightsDigest = this.settings.weightsDigest): void {
     this.incarnation += 1;
     this.settings.weightsDigest = weightsDigest;
@@ -227,7 +227,7 @@
     });
   }
 
-  private refusalOf(generation: EngineGeneration): string | undefined {
+  private rejectionReasonOf(generation: EngineGeneration): string | undefined {
     if (!this.alive) return 'down';
     if (this.leaving) return 'leaving';
     if (generation.model !== this.settings.model) return 'wrong-model';
@@ -259,8 +259,8 @@
   private scheduleStep(): void {
     if (this.stepTimer || !this.alive || this.isStalled || this.activeRequests === 0) return;
     this.admit();
-    const prefilled = this.planPrefill();
-    const prefillMs = (prefilled / this.settings.prefillTokensPerSecond) * MS_PER_SECOND;
+    const prefillTokens = this.planPrefill();
+    const prefillMs = (prefillTokens / this.settings.prefillTokensPerSecond) * MS_PER_SECOND;
     const durationMs = Math.max(this.settings.decodeStepMs, prefillMs);
     this.stepTimer = this.clock.setTimer(durationMs, () => {
       this.stepTimer = undefined;
@@ -279,16 +279,16 @@
   }
 
   private matchCache(sequence: EngineSequence): void {
-    const kept = this.cache.match(sequence.chain);
-    for (const block of kept) {
+    const cachedBlocks = this.cache.match(sequence.chain);
+    for (const block of cachedBlocks) {
       block.users += 1;
       this.auditReuse(sequence, block);
     }
-    sequence.usedBlocks = kept;
-    // The last token is always computed, to have something to decode from.
-    const keptTokens = Math.min(kept.length * BLOCK_TOKENS, sequence.promptTokens - 1);
-    sequence.cachedTokens = Math.max(0, keptTokens);
-    sequence.prefillLeft = sequence.promptTokens - sequence.cachedTokens;
+    sequence.usedBlocks = cachedBlocks;
+    // Decoding needs the output of the last prompt token, so that token is always computed.
+    const matchedTokens = Math.min(cachedBlocks.length * BLOCK_TOKENS, sequence.promptTokens - 1);
+    sequence.cachedTokens = Math.max(0, matchedTokens);
+    sequence.remainingPrefillTokens = sequence.promptTokens - sequence.cachedTokens;
     this.totals.promptTokens += sequence.promptTokens;
     this.totals.cachedTokens += sequence.cachedTokens;
   }
@@ -302,13 +302,13 @@
     });
   }
 
-  /** Spends the step's prefill budget in order of admission; answers the tokens computed. */
+  /** Spends the step's prefill budget in order of admission; returns the tokens computed. */
   private planPrefill(): number {
     let budget = this.settings.prefillChunkTokens;
     for (const sequence of this.queue.running) {
       if (sequence.state !== SequenceState.Prefilling) continue;
-      const tokens = Math.min(budget, sequence.prefillLeft);
-      sequence.prefillLeft -= tokens;
+      const tokens = Math.min(budget, sequence.remainingPrefillTokens);
+      sequence.remainingPrefillTokens -= tokens;
       budget -= tokens;
       if (budget === 0) break;
     }
@@ -318,13 +318,16 @@
   private finishStep(): void {
     for (const sequence of [...this.queue.running]) {
       if (sequence.state === SequenceState.Decoding) this.decode(sequence);
-      else if (sequence.state === SequenceState.Prefilling && sequence.prefillLeft === 0) {
+      else if (
+        sequence.state === SequenceState.Prefilling &&
+        sequence.remainingPrefillTokens === 0
+      ) {
         this.storeBlocks(sequence);
         sequence.state = SequenceState.Decoding;
         this.decode(sequence);
       }
     }
-    this.forgetOld();
+    this.removeExpiredSequences();
   }
 
   private decode(sequence: EngineSequence): void {
@@ -346,7 +349,7 @@
       if (!this.cache.store(hash, parent, weightsDigest, requestId, nowMs)) break;
       parent = hash;
     }
-    // Makes the root the most recently used block of the chain, so that eviction starts at the leaf.
+    // Touches the whole chain, the root last, so that eviction starts at the leaf.
     this.cache.match(sequence.chain);
   }
 
@@ -358,7 +361,7 @@
     this.queue.remove(sequence);
   }
 
-  private forgetOld(): void {
+  private removeExpiredSequences(): void {
     const oldestMs = this.clock.now() - this.settings.streamRetentionMs;
     for (const [requestId, sequence] of this.sequences) {
       if (sequence.ended && sequence.finishedAtMs < oldestMs && sequence.readers.size === 0) {
--- a/src/lab/engine/event-log.ts
+++ b/src/lab/engine/event-log.ts
@@ -1,7 +1,7 @@
-/** The stand-in's cache event stream: numbered, late, and with gaps where told. */
+/** The fake engine's numbered stream of cache events, with configurable delay and loss. */
 import type { RandomSource } from '../../runtime/random.js';
 
-/** An entry of the stream. */
+/** A cache event and the time from which it can be read. */
 export interface LoggedEvent {
   readonly sequence: number;
   readonly kind: 'stored' | 'removed';
@@ -10,29 +10,29 @@
   readonly visibleAtMs: number;
 }
 
-/** How the stream misbehaves. */
+/** Injected faults of the event stream. */
 export interface EventFaults {
-  /** Time before an event can be read. */
+  /** Time until an event can be read. */
   delayMs: number;
-  /** Chance that an event is lost; its number is used up. */
+  /** Probability that an event is lost; its sequence number is skipped. */
   lossChance: number;
 }
 
 const RETAINED_EVENTS = 20_000;
 
-/** The events of one engine incarnation. */
+/** The cache events of one engine incarnation. */
 export class EventLog {
   private events: LoggedEvent[] = [];
-  private next = 1;
+  private nextNumber = 1;
 
   constructor(
     private readonly faults: EventFaults,
     private readonly random: RandomSource,
   ) {}
 
-  /** Number of the next event. */
+  /** Sequence number of the next event. */
   get nextSequence(): number {
-    return this.next;
+    return this.nextNumber;
   }
 
   append(
@@ -41,15 +41,15 @@
     parent: bigint | undefined,
     nowMs: number,
   ): void {
-    const sequence = this.next;
-    this.next += 1;
+    const sequence = this.nextNumber;
+    this.nextNumber += 1;
     if (this.faults.lossChance > 0 && this.random.next() < this.faults.lossChance) return;
     const visibleAtMs = nowMs + this.faults.delayMs;
     this.events.push({ sequence, kind, block, parent, visibleAtMs });
     if (this.events.length > 2 * RETAINED_EVENTS) this.events = this.events.slice(-RETAINED_EVENTS);
   }
 
-  /** Visible events from a number on, at most `limit`. */
+  /** Returns at most `limit` visible events from a sequence number on. */
   read(fromSequence: number, nowMs: number, limit: number): LoggedEvent[] {
     const start = this.indexOf(fromSequence);
     const visible: LoggedEvent[] = [];
--- a/src/lab/engine/http-face.ts
+++ b/src/lab/engine/http-face.ts
@@ -1,4 +1,4 @@
-/** The stand-in engine over HTTP, as docs/INTERFACES.md describes a model engine. */
+/** Serves a fake engine over the HTTP interface of a model engine (docs/INTERFACES.md). */
 import { HttpStatus } from '../../protocol/http-status.js';
 import { PassThrough } from 'node:stream';
 import type Hapi from '@hapi/hapi';
@@ -26,7 +26,7 @@
 import type { EngineSequence } from './sequence.js';
 import { StreamCursor } from './stream-cursor.js';
 
-const EVENT_POLL_MS = 40;
+const EVENT_POLL_INTERVAL_MS = 40;
 
 const faultsSchema = z.strictObject({
   event_delay_ms: z.number().min(0).optional(),
@@ -35,7 +35,7 @@
   crash: z.boolean().optional(),
 });
 
-/** Starts the HTTP face of an engine. */
+/** Starts the HTTP server of an engine. */
 export function startEngineFace(
   core: EngineCore,
   clock: Clock,
@@ -59,10 +59,10 @@
     path: '/v1/generate',
     handler: (request, h) => {
       const body = generationSchema.safeParse(request.payload);
-      if (!body.success) return refuse(h, HttpStatus.BadRequest, 'malformed');
+      if (!body.success) return reject(h, HttpStatus.BadRequest, 'malformed');
       const result = core.accept(generationFromWire(body.data));
-      if (result.kind === 'refused') return refuse(h, HttpStatus.Unavailable, result.reason);
-      return streamFrom(h, core, result.sequence, 0);
+      if (result.kind === 'refused') return reject(h, HttpStatus.Unavailable, result.reason);
+      return streamResponse(h, core, result.sequence, 0);
     },
   });
   server.route({
@@ -71,7 +71,7 @@
     handler: (request, h) => {
       const sequence = core.find(String(request.params.id));
       if (!sequence) return h.response({ error: 'no such stream' }).code(HttpStatus.NotFound);
-      return streamFrom(h, core, sequence, queryNumber(request, 'offset', 0));
+      return streamResponse(h, core, sequence, queryNumber(request, 'offset', 0));
     },
   });
   server.route({
@@ -98,7 +98,7 @@
       const deadlineMs = clock.now() + queryNumber(request, 'wait_ms', 0);
       let batch = core.events(from);
       while (batch.events.length === 0 && clock.now() < deadlineMs && core.isAlive) {
-        await sleep(clock, EVENT_POLL_MS);
+        await sleep(clock, EVENT_POLL_INTERVAL_MS);
         batch = core.events(from);
       }
       return batchToWire(batch);
@@ -119,11 +119,11 @@
   if (faults.crash === false && !core.isAlive) core.restart();
 }
 
-function refuse(h: Hapi.ResponseToolkit, status: number, reason: string): Hapi.ResponseObject {
+function reject(h: Hapi.ResponseToolkit, status: number, reason: string): Hapi.ResponseObject {
   return h.response({ not_run: true, reason }).code(status);
 }
 
-function streamFrom(
+function streamResponse(
   h: Hapi.ResponseToolkit,
   core: EngineCore,
   sequence: EngineSequence,
@@ -139,7 +139,7 @@
   return h.response(output).type('text/event-stream').header('cache-control', 'no-cache');
 }
 
-/** Writes a stream's events as server-sent events. */
+/** Writes the events of a stream as server-sent events. */
 class EventWriter implements EngineStreamListener {
   onFull: () => void = () => undefined;
 
--- a/src/lab/engine/lagging-load.ts
+++ b/src/lab/engine/lagging-load.ts
@@ -1,30 +1,30 @@
-/** A load report as engines give it: some time old, and renewed only when it is asked for. */
+/** Load reports with the staleness of a real engine's reports. */
 import type { Clock } from '../../runtime/clock.js';
 import type { EngineLoadReport } from '../../protocol/engine/port.js';
 
-/** Shows a measured load with a lag. */
+/** Caches a load report and refreshes it on a read after `lagMs`. */
 export class LaggingLoad {
-  private shown: EngineLoadReport;
-  private shownAtMs = Number.NEGATIVE_INFINITY;
+  private lastReport: EngineLoadReport;
+  private lastReportAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param lagMs a report is shown for this long before it is measured anew
-   * @param measure the load at this moment
+   * @param lagMs time for which a report is returned before the load is measured again
+   * @param measure returns the current load
    */
   constructor(
     private readonly lagMs: number,
     private readonly clock: Clock,
     private readonly measure: () => EngineLoadReport,
   ) {
-    this.shown = measure();
+    this.lastReport = measure();
   }
 
   get report(): EngineLoadReport {
     const nowMs = this.clock.now();
-    if (nowMs - this.shownAtMs >= this.lagMs) {
-      this.shownAtMs = nowMs;
-      this.shown = this.measure();
+    if (nowMs - this.lastReportAtMs >= this.lagMs) {
+      this.lastReportAtMs = nowMs;
+      this.lastReport = this.measure();
     }
-    return this.shown;
+    return this.lastReport;
   }
 }
--- a/src/lab/engine/sequence-queue.ts
+++ b/src/lab/engine/sequence-queue.ts
@@ -1,7 +1,7 @@
-/** The sequences of one engine that wait and that run. */
+/** The waiting and running sequences of one engine. */
 import type { EngineSequence } from './sequence.js';
 
-/** Waiting sequences by priority and arrival, running ones by admission. */
+/** Orders waiting sequences by priority and arrival, and running ones by admission. */
 export class SequenceQueue {
   private waitingSequences: EngineSequence[] = [];
   private runningSequences: EngineSequence[] = [];
@@ -14,19 +14,19 @@
     return this.runningSequences;
   }
 
-  /** Sequences waiting or running. */
+  /** Number of sequences that wait or run. */
   get size(): number {
     return this.waitingSequences.length + this.runningSequences.length;
   }
 
-  /** Higher priority first, then arrival. */
+  /** Adds a sequence after all waiting ones of the same or a higher priority. */
   enqueue(sequence: EngineSequence): void {
     const index = this.waitingSequences.findIndex((other) => other.priority < sequence.priority);
     if (index < 0) this.waitingSequences.push(sequence);
     else this.waitingSequences.splice(index, 0, sequence);
   }
 
-  /** Moves the first waiting sequence to the running ones; undefined where none waits. */
+  /** Moves the first waiting sequence to the running ones; returns undefined if none waits. */
   admitNext(): EngineSequence | undefined {
     const sequence = this.waitingSequences.shift();
     if (sequence) this.runningSequences.push(sequence);
--- a/src/lab/engine/sequence.ts
+++ b/src/lab/engine/sequence.ts
@@ -1,9 +1,9 @@
-/** One request inside the stand-in engine, and the readers of its stream. */
+/** One request inside the fake engine, and the readers of its stream. */
 import type { EngineUsage } from '../../protocol/engine/port.js';
 import type { CachedBlock } from './block-cache.js';
 import type { TextState } from './token-model.js';
 
-/** Where a sequence stands in the batch. */
+/** Processing state of a sequence. */
 export enum SequenceState {
   Waiting = 'waiting',
   Prefilling = 'prefilling',
@@ -12,22 +12,22 @@
   Cancelled = 'cancelled',
 }
 
-/** Receives a sequence's output. */
+/** Is notified of a sequence's output. */
 export interface SequenceReader {
-  /** Something new may be read from the sequence. */
+  /** The sequence may have new tokens or may have ended. */
   onProgress(): void;
-  /** The engine died; nothing more comes. */
+  /** The engine crashed; no further notification follows. */
   onLost(): void;
 }
 
-/** A request in the engine. */
+/** A generation request and its output. */
 export class EngineSequence {
   state = SequenceState.Waiting;
   readonly tokens: string[] = [];
   readonly readers = new Set<SequenceReader>();
   cachedTokens = 0;
-  /** Prompt tokens still to compute. */
-  prefillLeft: number;
+  /** Prompt tokens that are not yet computed. */
+  remainingPrefillTokens: number;
   usedBlocks: CachedBlock[] = [];
   finishedAtMs = 0;
 
@@ -41,7 +41,7 @@
     readonly text: TextState,
     readonly weightsDigest: string,
   ) {
-    this.prefillLeft = promptTokens;
+    this.remainingPrefillTokens = promptTokens;
   }
 
   get started(): boolean {
--- a/src/lab/engine/settings.ts
+++ b/src/lab/engine/settings.ts
@@ -1,31 +1,31 @@
-/** Parameters and faults of the stand-in engine. */
+/** Settings of the fake engine. */
 
-/** Speeds and sizes of a stand-in engine. */
+/** Identity, speed, capacity and injected faults of a fake engine. */
 export interface EngineModelSettings {
   readonly engineId: string;
   model: string;
   weightsDigest: string;
   adapterDigest: string;
-  /** Prompt tokens computed a second. */
+  /** Prompt tokens computed per second. */
   readonly prefillTokensPerSecond: number;
-  /** Prompt tokens computed at most in one step. */
+  /** Maximum number of prompt tokens computed in one step. */
   readonly prefillChunkTokens: number;
-  /** Length of a step that only decodes. */
+  /** Duration of a step that only decodes. */
   readonly decodeStepMs: number;
-  /** Requests in the batch at most. */
+  /** Maximum number of requests in the batch. */
   readonly maximumRunning: number;
-  /** Requests waiting at most; more are refused. */
+  /** Maximum number of waiting requests; further ones are rejected. */
   readonly maximumWaiting: number;
   readonly cacheBlocks: number;
-  /** Age of the load that a status shows. */
+  /** Maximum age of the load report in a status. */
   readonly loadLagMs: number;
   readonly eventDelayMs: number;
   readonly eventLossChance: number;
-  /** How long a finished or abandoned stream can be resumed. */
+  /** Time for which a finished or cancelled stream can be resumed. */
   readonly streamRetentionMs: number;
 }
 
-/** Settings of a middling engine; examples override them. */
+/** Default settings; callers override single fields. */
 export const DEFAULT_ENGINE_SETTINGS: EngineModelSettings = {
   engineId: 'engine',
   model: 'model',
--- a/src/lab/engine/stream-cursor.ts
+++ b/src/lab/engine/stream-cursor.ts
@@ -1,4 +1,4 @@
-/** Reads a stand-in's sequence from an offset on into a listener, with pauses. */
+/** Delivers a fake engine's sequence to a listener from an offset on, with flow control. */
 import type { EngineStream, EngineStreamListener } from '../../protocol/engine/port.js';
 import type { EngineCore } from './engine-core.js';
 import { type EngineSequence, type SequenceReader, SequenceState } from './sequence.js';
@@ -18,18 +18,18 @@
     sequence.readers.add(this);
   }
 
-  /** Hands out what is there; called once after creation and on each progress. */
+  /** Delivers the available tokens; called once after creation and on each progress. */
   onProgress(): void {
     if (this.paused || this.closed || !this.sequence.started) return;
     this.sendStart();
-    const fresh = this.sequence.tokens.slice(this.offset);
-    if (fresh.length > 0) {
+    const newTokens = this.sequence.tokens.slice(this.offset);
+    if (newTokens.length > 0) {
       const offset = this.offset;
-      this.offset += fresh.length;
-      this.listener.onTokens(offset, fresh);
+      this.offset += newTokens.length;
+      this.listener.onTokens(offset, newTokens);
     }
-    // The listener may have paused or closed this cursor on taking the tokens.
-    if (this.mayEnd()) this.finish();
+    // The listener may have paused or closed this cursor while it handled the tokens.
+    if (this.canFinish()) this.finish();
   }
 
   onLost(): void {
@@ -58,7 +58,7 @@
     this.sequence.readers.delete(this);
   }
 
-  private mayEnd(): boolean {
+  private canFinish(): boolean {
     if (this.paused || this.closed) return false;
     return (
       this.sequence.state === SequenceState.Finished && this.offset >= this.sequence.tokens.length
--- a/src/lab/engine/token-model.ts
+++ b/src/lab/engine/token-model.ts
@@ -1,10 +1,10 @@
 /**
- * The stand-in's language model: the next token is a function of all text before it, as with a real
- * model at temperature 0. A stream continued from prompt and delivered text is therefore the same.
+ * The fake engine's language model. The next token is a function of all text before it, as with a
+ * real model at temperature 0, so a stream resumed from prompt and delivered text is the same.
  */
 import createXxhash from 'xxhash-wasm';
 
-/** Words the model knows. */
+/** Words that the model generates. */
 const VOCABULARY = [
   'ready', 'flag', 'table', 'menu', 'release', 'audit', 'guest', 'rule', 'seat', 'check',
   'change', 'note', 'time', 'store', 'hold', 'path', 'order', 'party', 'scope', 'review',
@@ -12,18 +12,17 @@
   'line', 'state',
 ] as const; // prettier-ignore
 
-/** Text state of one sequence. */
+/** The text of one sequence, from which its next token is computed. */
 export interface TextState {
-  /** Appends text and answers nothing. */
   append(text: string | Uint8Array): void;
-  /** The next token after all text so far; does not append it. */
+  /** Returns the token that follows the text, without appending it. */
   nextToken(): string;
 }
 
-/** Creates text states. */
+/** Creates the text state of a new sequence. */
 export type TokenModel = () => TextState;
 
-/** Loads the model. */
+/** Loads the hash function and creates the model. */
 export async function createTokenModel(): Promise<TokenModel> {
   const { create32 } = await createXxhash();
   return () => {
@@ -37,7 +36,7 @@
   };
 }
 
-/** The whole text a model gives for a prompt; for checks. */
+/** Returns the text that a model generates for a prompt, for comparison in checks. */
 export function expectedText(model: TokenModel, prompt: string, tokens: number): string {
   const state = model();
   state.append(prompt);
--- a/src/lab/simulation/host-clock.ts
+++ b/src/lab/simulation/host-clock.ts
@@ -1,38 +1,38 @@
-/** The clock of one simulated host: stands still while the host is paused, ends with a crash. */
+/** Clock, timers and process state of one simulated host on the shared virtual clock. */
 import type { Clock, Timer } from '../../runtime/clock.js';
 import type { ElapsedInstant } from '../../runtime/elapsed-instant.js';
 
 /** State of a simulated process. */
 export enum HostState {
   Running = 'running',
-  /** Frozen: no timer fires, nothing is received; time goes on around it. */
+  /** Frozen: no timer fires and nothing is received; the clocks go on. */
   Paused = 'paused',
-  /** Its machine is suspended: as frozen, and its steady clock and timers stand still. */
+  /** The machine is suspended: like `Paused`, and the monotonic clock and timers stop too. */
   Suspended = 'suspended',
-  /** Gone for good; a restart is a new host clock. */
+  /** Terminated; a restart creates a new host clock. */
   Stopped = 'stopped',
 }
 
-/** Sums of times that should be equal differ by less; a timer set for less would never come due. */
-const ROUNDING_MS = 0.001;
+/** Exceeds floating-point errors in sums of times; keeps a timer from being re-armed for them. */
+const ROUNDING_TOLERANCE_MS = 0.001;
 
-/** How the clocks of a host go. */
+/** Deviations of a host's clocks. */
 export interface HostClockOptions {
-  /** How far this machine's time of day is off, in milliseconds. */
+  /** Offset of the wall clock, in milliseconds. */
   readonly wallSkewMs?: number;
-  /** False where the process, wrongly, takes its steady clock for one that counts suspensions. */
+  /** False to simulate a process whose `elapsed()` wrongly excludes suspensions. */
   readonly countsSuspensions?: boolean;
 }
 
-/** Timers and clocks of one host on the common clock. */
+/** Clocks and timers of one host. */
 export class HostClock implements Clock {
   private state = HostState.Running;
-  private due: (() => void)[] = [];
+  private pendingActions: (() => void)[] = [];
   private suspendedMs = 0;
   private suspendedSinceMs = 0;
 
   constructor(
-    private readonly common: Clock,
+    private readonly sharedClock: Clock,
     private readonly options: HostClockOptions = {},
   ) {}
 
@@ -45,16 +45,18 @@
   }
 
   now(): number {
-    return this.common.now() - this.lostMs;
+    return this.sharedClock.now() - this.totalSuspendedMs;
   }
 
   elapsed(): ElapsedInstant {
     const { countsSuspensions = true } = this.options;
-    return countsSuspensions ? this.common.elapsed() : this.common.elapsed().plus(-this.lostMs);
+    return countsSuspensions
+      ? this.sharedClock.elapsed()
+      : this.sharedClock.elapsed().plus(-this.totalSuspendedMs);
   }
 
   wallNow(): number {
-    return this.common.wallNow() + (this.options.wallSkewMs ?? 0);
+    return this.sharedClock.wallNow() + (this.options.wallSkewMs ?? 0);
   }
 
   setTimer(delayMs: number, callback: () => void): Timer {
@@ -62,12 +64,13 @@
     const dueMs = this.now() + Math.max(0, delayMs);
     const fire = (): void => {
       if (cancelled) return;
-      // Timers stand still with the steady clock: after a suspension some of the delay is left.
-      const leftMs = dueMs - this.now();
-      if (leftMs > ROUNDING_MS) this.common.setTimer(leftMs, () => this.deliver(fire));
+      // Timers follow the monotonic clock: after a suspension, part of the delay remains.
+      const remainingMs = dueMs - this.now();
+      if (remainingMs > ROUNDING_TOLERANCE_MS)
+        this.sharedClock.setTimer(remainingMs, () => this.deliver(fire));
       else callback();
     };
-    this.common.setTimer(delayMs, () => this.deliver(fire));
+    this.sharedClock.setTimer(delayMs, () => this.deliver(fire));
     return {
       cancel: () => {
         cancelled = true;
@@ -75,50 +78,50 @@
     };
   }
 
-  /** Runs an action of this host now, once it is no longer paused, or never. */
+  /** Runs an action now, or when the host runs again; drops it if the host has stopped. */
   deliver(action: () => void): void {
     if (this.state === HostState.Running) action();
-    else if (this.state !== HostState.Stopped) this.due.push(action);
+    else if (this.state !== HostState.Stopped) this.pendingActions.push(action);
   }
 
   pause(): void {
     if (this.state === HostState.Running) this.state = HostState.Paused;
   }
 
-  /** Runs what came due meanwhile, in order. */
+  /** Resumes a paused host and runs the pending actions in order. */
   unpause(): void {
-    if (this.state === HostState.Paused) this.goOn();
+    if (this.state === HostState.Paused) this.resumeDelivery();
   }
 
-  /** The machine is suspended: its steady clock stands still. */
+  /** Suspends the machine, which stops its monotonic clock. */
   suspend(): void {
     if (this.state !== HostState.Running) return;
     this.state = HostState.Suspended;
-    this.suspendedSinceMs = this.common.now();
+    this.suspendedSinceMs = this.sharedClock.now();
   }
 
-  /** The machine wakes: what arrived meanwhile is handled, and timers go on where they stood. */
+  /** Ends a suspension: pending actions run, and timers continue with their remaining delay. */
   wake(): void {
     if (this.state !== HostState.Suspended) return;
-    this.suspendedMs += this.common.now() - this.suspendedSinceMs;
-    this.goOn();
+    this.suspendedMs += this.sharedClock.now() - this.suspendedSinceMs;
+    this.resumeDelivery();
   }
 
   stop(): void {
     this.state = HostState.Stopped;
-    this.due = [];
+    this.pendingActions = [];
   }
 
-  /** Time in which the steady clock stood still, in milliseconds. */
-  private get lostMs(): number {
+  /** Total time for which the monotonic clock was stopped, in milliseconds. */
+  private get totalSuspendedMs(): number {
     const isSuspended = this.state === HostState.Suspended;
-    return this.suspendedMs + (isSuspended ? this.common.now() - this.suspendedSinceMs : 0);
+    return this.suspendedMs + (isSuspended ? this.sharedClock.now() - this.suspendedSinceMs : 0);
   }
 
-  private goOn(): void {
+  private resumeDelivery(): void {
     this.state = HostState.Running;
-    const due = this.due;
-    this.due = [];
+    const due = this.pendingActions;
+    this.pendingActions = [];
     for (const action of due) this.deliver(action);
   }
 }
--- a/src/lab/simulation/observed-request.ts
+++ b/src/lab/simulation/observed-request.ts
@@ -1,4 +1,4 @@
-/** A request as the oracle sees it: what was asked and all that the caller heard. */
+/** Records a request and everything that its caller received, for the oracle. */
 import type { CallerHandle, CallerRequest, CallerSink } from '../../coordination/agent/caller.js';
 import type { FailedCall } from '../../coordination/errors.js';
 
@@ -9,11 +9,11 @@
   | { readonly kind: 'failed'; readonly failed: FailedCall }
   | { readonly kind: 'hung-up' };
 
-/** One request and its record. */
+/** A request and its recorded response. */
 export class ObservedRequest implements CallerSink {
   readonly texts: string[] = [];
   readonly ends: ObservedEnd[] = [];
-  /** Faults of the stream itself, as they were seen. */
+  /** Violations of the stream's protocol, such as gaps or texts after the end. */
   readonly faults: string[] = [];
   handle: CallerHandle | undefined;
   lastTextMs: number;
--- a/src/lab/simulation/remote-call.ts
+++ b/src/lab/simulation/remote-call.ts
@@ -1,20 +1,20 @@
-/** Request and answer between a simulated host and a stand-in, with the failures HTTP would show. */
+/** Simulates an HTTP call from a host to a fake service, including connection failures. */
 import { ProtocolFailure } from '../../protocol/errors.js';
 import type { HostClock } from './host-clock.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 
 const CONNECT_TIMEOUT_MS = 2_000;
 
-/** Where a call goes. */
+/** The destination of a call. */
 export interface RemoteTarget {
   readonly hostName: string;
-  /** Whether its process runs now. */
+  /** Whether its process is running. */
   isUp(): boolean;
 }
 
 /**
- * Runs `handle` at the target and brings its answer back. Nothing sent: `unreachable`. Sent and no
- * answer: `interrupted`.
+ * Runs `handle` at the target and returns its response. Fails with `unreachable` if the request was
+ * not sent, and with `interrupted` if it was sent but no response arrived.
  */
 export function callRemote<T>(
   network: SimulatedNetwork,
@@ -33,8 +33,8 @@
       return;
     }
     network.clock.setTimer(timeoutMs, () => fail('interrupted', 'timeout'));
-    const answer = (value: T): void => {
-      // An answer that meets a cut is lost, as with a connection that breaks.
+    const respond = (value: T): void => {
+      // A response that meets a partition is lost, as on a broken connection.
       if (network.isCut(callerName, target.hostName)) fail('interrupted', 'connection lost');
       else caller.deliver(() => resolve(value));
     };
@@ -46,7 +46,7 @@
       Promise.resolve()
         .then(handle)
         .then(
-          (value) => network.clock.setTimer(network.delayMs(), () => answer(value)),
+          (value) => network.clock.setTimer(network.delayMs(), () => respond(value)),
           (error: unknown) =>
             network.clock.setTimer(network.delayMs(), () =>
               error instanceof ProtocolFailure
--- a/src/lab/simulation/simulated-cluster.ts
+++ b/src/lab/simulation/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** Starts and ends real routers and agents on simulated hosts, in one process on a virtual clock. */
+/** Runs real routers and agents on simulated hosts, in one process on a virtual clock. */
 import 'reflect-metadata';
 import { type DependencyContainer, container as rootContainer } from 'tsyringe';
 import type { AgentNode } from '../../coordination/agent/agent-node.js';
@@ -33,37 +33,37 @@
   SimulatedFrameTransport,
   SimulatedSockets,
 } from './simulated-transports.js';
-import { SIMULATED_PORT, StandInFleet } from './stand-in-fleet.js';
+import { SIMULATED_PORT, FakeFleet } from './stand-in-fleet.js';
 
 const SEED_RANGE = 0x7fffffff;
 const CLUSTER_KEY = 'simulated-cluster-key';
 
-/** A process of the deployment and its host. */
+/** A router or agent and its simulated host. */
 export interface Hosted<T> {
   readonly name: string;
   readonly host: HostClock;
   readonly node: T;
-  /** Leaves by plan. */
+  /** Whether a graceful stop has begun. */
   stopping: boolean;
 }
 
-/** Where a simulated node stands and how it finds the others. */
+/** Location of a simulated node, and the routers it contacts first. */
 export interface SimulatedNodeSettings {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
-  /** Host names of some routers. */
+  /** Host names of the seed routers. */
   readonly contacts: readonly string[];
 }
 
-/** Hosts, network and stand-ins of one simulated deployment. */
+/** Hosts, network and fake services of one simulated deployment. */
 export class SimulatedCluster {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
   readonly network: SimulatedNetwork;
   readonly sockets: SimulatedSockets;
-  readonly fleet: StandInFleet;
-  /** Replaces the way to engines; hollow runs set it. */
+  readonly fleet: FakeFleet;
+  /** Creates the engine port of a host instead of the default; set by scale runs. */
   createEnginePort: ((name: string, host: HostClock) => EnginePort) | undefined;
 
   constructor(
@@ -77,7 +77,7 @@
     this.network = new SimulatedNetwork(this.clock, this.random);
     this.sockets = new SimulatedSockets(this.network);
     const { clock, random } = this;
-    this.fleet = new StandInFleet(clock, random, hasher, tokenModel, machineListLagMs);
+    this.fleet = new FakeFleet(clock, random, hasher, tokenModel, machineListLagMs);
   }
 
   startRouter(settings: SimulatedNodeSettings): Hosted<RouterNode> {
@@ -115,15 +115,15 @@
     return { name, host, node, stopping: false };
   }
 
-  /** The process is gone at once, its connections break. */
+  /** Terminates the process at once and resets its connections. */
   crash(hosted: Hosted<unknown>): void {
     hosted.host.stop();
     this.sockets.resetConnections(hosted.name);
     this.sockets.forget(hosted.name);
   }
 
-  /** Lets the process leave; its host ends when it is done. */
-  async stopByPlan(hosted: Hosted<{ stop(): Promise<void> }>): Promise<void> {
+  /** Stops the process gracefully, then its host. */
+  async stopGracefully(hosted: Hosted<{ stop(): Promise<void> }>): Promise<void> {
     if (hosted.stopping || !hosted.host.isRunning) return;
     hosted.stopping = true;
     await hosted.node.stop();
@@ -133,9 +133,8 @@
   private registerPorts(container: DependencyContainer, name: string, host: HostClock): void {
     const { network, fleet } = this;
     const { store, machines } = fleet;
-    const findEngine = (id: string): ReturnType<StandInFleet['findEngine']> => fleet.findEngine(id);
-    const findBackend = (id: string): ReturnType<StandInFleet['findBackend']> =>
-      fleet.findBackend(id);
+    const findEngine = (id: string): ReturnType<FakeFleet['findEngine']> => fleet.findEngine(id);
+    const findBackend = (id: string): ReturnType<FakeFleet['findBackend']> => fleet.findBackend(id);
     const enginePort =
       this.createEnginePort?.(name, host) ??
       new SimulatedEnginePort(network, name, host, findEngine);
--- a/src/lab/simulation/simulated-engine-port.ts
+++ b/src/lab/simulation/simulated-engine-port.ts
@@ -1,4 +1,4 @@
-/** The engine port of one simulated host, straight to stand-in engines over the simulated network. */
+/** The engine port of one simulated host; connects to fake engines over the simulated network. */
 import { sleep } from '../../runtime/clock.js';
 import type {
   EngineEventBatch,
@@ -17,14 +17,14 @@
 import { OrderedPipe, type SimulatedNetwork } from './simulated-network.js';
 import { hostNameOf } from './simulated-transports.js';
 
-const ANSWER_TIMEOUT_MS = 2_000;
-const EVENT_POLL_MS = 100;
+const RESPONSE_TIMEOUT_MS = 2_000;
+const EVENT_POLL_INTERVAL_MS = 100;
 const CONNECT_TIMEOUT_MS = 2_000;
 
-/** Finds the stand-in at an address. */
+/** Returns the fake engine on a host. */
 export type EngineFinder = (hostName: string) => EngineCore | undefined;
 
-/** One stream between a router host and an engine. */
+/** One stream between a router and an engine. */
 class SimulatedEngineStream implements EngineStream {
   private cursor: StreamCursor | undefined;
   private closed = false;
@@ -38,7 +38,7 @@
     private readonly listener: EngineStreamListener,
   ) {}
 
-  /** Asks the engine for a sequence; `find` runs there. */
+  /** Requests a sequence from the engine; `find` runs at the engine. */
   open(core: EngineCore | undefined, find: (core: EngineCore) => OpenResult, offset: number): void {
     if (this.network.isCut(this.localHost, this.engineHost)) {
       const failure = { kind: 'unreachable', reason: 'timeout' } as const;
@@ -79,16 +79,16 @@
       this.failLater(result.failure);
       return;
     }
-    // A router that gave up meanwhile has closed its connection; the engine goes on alone.
+    // If the router has closed the stream meanwhile, the engine continues without a reader.
     if (this.closed) return;
     const pipe = new OrderedPipe(this.network, this.engineHost, this.localHost, this.host);
-    const cursor = new StreamCursor(core, result.sequence, offset, this.remote(pipe));
+    const cursor = new StreamCursor(core, result.sequence, offset, this.remoteListener(pipe));
     this.cursor = cursor;
     if (this.paused) cursor.pause();
     cursor.onProgress();
   }
 
-  private remote(pipe: OrderedPipe): EngineStreamListener {
+  private remoteListener(pipe: OrderedPipe): EngineStreamListener {
     const send = (action: () => void): void =>
       pipe.send(() => {
         if (!this.closed) action();
@@ -120,7 +120,7 @@
 
 type OpenResult = { readonly sequence: EngineSequence } | { readonly failure: EngineFailure };
 
-/** Engines as one simulated host reaches them. */
+/** Access to the fake engines from one simulated host. */
 export class SimulatedEnginePort implements EnginePort {
   constructor(
     private readonly network: SimulatedNetwork,
@@ -154,12 +154,12 @@
   }
 
   events(address: string, fromSequence: number, waitMs: number): Promise<EngineEventBatch> {
-    return this.call(address, waitMs + ANSWER_TIMEOUT_MS, async (core) => {
+    return this.call(address, waitMs + RESPONSE_TIMEOUT_MS, async (core) => {
       const { clock } = this.network;
       const deadlineMs = clock.now() + waitMs;
       let batch = core.events(fromSequence);
       while (batch.events.length === 0 && clock.now() < deadlineMs && core.isAlive) {
-        await sleep(clock, EVENT_POLL_MS);
+        await sleep(clock, EVENT_POLL_INTERVAL_MS);
         batch = core.events(fromSequence);
       }
       if (!core.isAlive) throw new Error('engine lost');
@@ -168,7 +168,7 @@
   }
 
   snapshot(address: string): Promise<EngineSnapshot> {
-    return this.call(address, ANSWER_TIMEOUT_MS, (core) => core.snapshot());
+    return this.call(address, RESPONSE_TIMEOUT_MS, (core) => core.snapshot());
   }
 
   private openStream(
@@ -193,7 +193,7 @@
     const core = this.find(hostName);
     const target: RemoteTarget = { hostName, isUp: () => core?.isAlive ?? false };
     return callRemote(this.network, this.localHost, this.host, target, timeoutMs, () => {
-      if (!core) throw new Error('no such engine');
+      if (!core) throw new Error('engine not found');
       return handle(core);
     });
   }
--- a/src/lab/simulation/simulated-network.ts
+++ b/src/lab/simulation/simulated-network.ts
@@ -1,29 +1,29 @@
-/** A network between simulated hosts that delays, drops, duplicates, reorders and cuts. */
+/** A simulated network with delays, loss, duplication, reordering and partitions. */
 import type { Clock } from '../../runtime/clock.js';
 import type { RandomSource } from '../../runtime/random.js';
 import type { HostClock } from './host-clock.js';
 
-/** How the network misbehaves; changed while it runs. */
+/** Injected network faults; can be changed at run time. */
 export interface NetworkFaults {
-  /** Shortest way, in milliseconds. */
+  /** Minimum one-way delay. */
   minimumDelayMs: number;
-  /** Random addition to it. */
+  /** Maximum random addition to the delay. */
   jitterMs: number;
-  /** Chance that a datagram is lost. */
+  /** Probability that a datagram is lost. */
   datagramLoss: number;
-  /** Chance that a datagram arrives twice. */
+  /** Probability that a datagram arrives twice. */
   datagramDuplication: number;
 }
 
-/** Retry period of an ordered delivery across a cut. */
-const CUT_RETRY_MS = 50;
+/** Interval between delivery attempts of an ordered pipe during a partition. */
+const PARTITION_RETRY_INTERVAL_MS = 50;
 
-/** Names of two hosts in a fixed order. */
+/** Returns the same key for two hosts in either order. */
 function pairOf(left: string, right: string): string {
   return left < right ? `${left}|${right}` : `${right}|${left}`;
 }
 
-/** Hosts by name and the ways between them. */
+/** Hosts by name and the state of the links between them. */
 export class SimulatedNetwork {
   readonly faults: NetworkFaults = {
     minimumDelayMs: 1,
@@ -33,7 +33,7 @@
   };
   private readonly hosts = new Map<string, HostClock>();
   private readonly cuts = new Set<string>();
-  /** Says whether two hosts are on different sides of a larger cut. */
+  /** Whether two hosts are on different sides of a partition. */
   private partition: ((left: string, right: string) => boolean) | undefined;
 
   constructor(
@@ -41,12 +41,12 @@
     readonly random: RandomSource,
   ) {}
 
-  /** Adds a host, or replaces it after a crash. */
+  /** Adds a host, or replaces it after a restart. */
   attach(name: string, host: HostClock): void {
     this.hosts.set(name, host);
   }
 
-  /** The running process of a host name; undefined where it is down. */
+  /** Returns the process of a host, or undefined if it has stopped. */
   hostOf(name: string): HostClock | undefined {
     const host = this.hosts.get(name);
     return host?.isStopped ? undefined : host;
@@ -56,26 +56,26 @@
     this.cuts.add(pairOf(left, right));
   }
 
-  /** Cuts one host from all others. */
+  /** Cuts the links between one host and all others. */
   isolate(name: string): void {
     for (const other of this.hosts.keys()) {
       if (other !== name) this.cut(name, other);
     }
   }
 
-  /** Ends the cuts of one host. */
+  /** Restores the links that were cut at one host. */
   join(name: string): void {
     for (const pair of this.cuts) {
       if (pair.split('|').includes(name)) this.cuts.delete(pair);
     }
   }
 
-  /** Cuts all ways for which the function says so. */
+  /** Partitions the network: cuts all links for which the predicate returns true. */
   cutAll(partition: (left: string, right: string) => boolean): void {
     this.partition = partition;
   }
 
-  /** Ends all cuts. */
+  /** Restores all links and ends the partition. */
   heal(): void {
     this.cuts.clear();
     this.partition = undefined;
@@ -94,7 +94,7 @@
     return this.faults.minimumDelayMs + this.random.next() * this.faults.jitterMs;
   }
 
-  /** Delivers without order or promise. */
+  /** Delivers like UDP: may lose, duplicate or reorder. */
   sendLossy(from: string, to: string, action: () => void): void {
     if (this.isCut(from, to) || this.random.next() < this.faults.datagramLoss) return;
     const copies = this.random.next() < this.faults.datagramDuplication ? 2 : 1;
@@ -104,14 +104,14 @@
   }
 }
 
-interface PipedAction {
+interface PendingDelivery {
   readonly dueMs: number;
   readonly action: () => void;
 }
 
-/** One direction of a connection: delivers in order, waits across cuts, ends with its receiver. */
+/** One direction of a connection: delivers in order and waits for the end of a partition. */
 export class OrderedPipe {
-  private queue: PipedAction[] = [];
+  private queue: PendingDelivery[] = [];
   private lastDueMs = 0;
   private isScheduled = false;
   private closed = false;
@@ -120,7 +120,7 @@
     private readonly network: SimulatedNetwork,
     private readonly from: string,
     private readonly to: string,
-    /** The receiving process; what comes after its crash is lost. */
+    /** The receiving process; deliveries after its crash are lost. */
     private readonly receiver: HostClock,
   ) {}
 
@@ -132,7 +132,7 @@
     this.schedule();
   }
 
-  /** Drops all that is under way. */
+  /** Closes the pipe and drops pending deliveries. */
   close(): void {
     this.closed = true;
     this.queue = [];
@@ -145,13 +145,13 @@
     const waitMs = Math.max(atLeastMs, head.dueMs - this.network.clock.now());
     this.network.clock.setTimer(waitMs, () => {
       this.isScheduled = false;
-      this.pump();
+      this.deliverDue();
     });
   }
 
-  private pump(): void {
+  private deliverDue(): void {
     if (this.network.isCut(this.from, this.to)) {
-      this.schedule(CUT_RETRY_MS);
+      this.schedule(PARTITION_RETRY_INTERVAL_MS);
       return;
     }
     const nowMs = this.network.clock.now();
--- a/src/lab/simulation/simulated-platform-ports.ts
+++ b/src/lab/simulation/simulated-platform-ports.ts
@@ -1,4 +1,4 @@
-/** Object API, machine list and plain back ends as one simulated host reaches them. */
+/** Access to the object API, the machine list and plain backends from one simulated host. */
 import { ProtocolFailure, toProtocolError } from '../../protocol/errors.js';
 import type { MachineList, MachineListPort } from '../../protocol/machine-list/port.js';
 import type { ObjectApiPort, StoredObject } from '../../protocol/object-api/port.js';
@@ -18,7 +18,7 @@
 import { hostNameOf } from './simulated-transports.js';
 
 const PLATFORM_HOST = 'platform';
-const ANSWER_TIMEOUT_MS = 2_000;
+const RESPONSE_TIMEOUT_MS = 2_000;
 const LOOKUP_TIMEOUT_MS = 1_000;
 
 /** The object API over the simulated network. */
@@ -31,15 +31,15 @@
   ) {}
 
   read(name: string): Promise<StoredObject | undefined> {
-    return this.call(ANSWER_TIMEOUT_MS, () => this.store.read(name));
+    return this.call(RESPONSE_TIMEOUT_MS, () => this.store.read(name));
   }
 
   write(name: string, content: string, expectedVersion: number): Promise<number> {
-    return this.call(ANSWER_TIMEOUT_MS, () => {
+    return this.call(RESPONSE_TIMEOUT_MS, () => {
       const result = this.store.write(name, content, expectedVersion);
       if (this.store.faults.loseWriteAnswers > 0) {
         this.store.faults.loseWriteAnswers -= 1;
-        throw new Error('answer lost');
+        throw new Error('response lost');
       }
       if (result.kind === 'written') return result.version;
       const { presentVersion } = result;
@@ -48,7 +48,7 @@
   }
 
   watch(name: string, afterVersion: number, waitMs: number): Promise<StoredObject | undefined> {
-    return this.call(waitMs + ANSWER_TIMEOUT_MS, () =>
+    return this.call(waitMs + RESPONSE_TIMEOUT_MS, () =>
       this.store.watch(name, afterVersion, waitMs),
     );
   }
@@ -76,14 +76,14 @@
 
   watch(afterVersion: number, waitMs: number): Promise<MachineList | undefined> {
     const target = { hostName: PLATFORM_HOST, isUp: () => !this.store.faults.down };
-    const timeoutMs = waitMs + ANSWER_TIMEOUT_MS;
+    const timeoutMs = waitMs + RESPONSE_TIMEOUT_MS;
     return callRemote(this.network, this.localHost, this.host, target, timeoutMs, () =>
       this.registry.watch(afterVersion, waitMs),
     );
   }
 }
 
-/** Plain back ends over the simulated network. */
+/** Plain backends over the simulated network. */
 export class SimulatedBackendPort implements PlainBackendPort {
   constructor(
     private readonly network: SimulatedNetwork,
@@ -96,7 +96,7 @@
     try {
       return await this.call(address, invocation.timeoutMs, async (core) => {
         const result = await core.run(invocation);
-        if (result.kind === 'lost') throw new Error('back end lost');
+        if (result.kind === 'lost') throw new Error('backend lost');
         return result;
       });
     } catch (error) {
@@ -123,7 +123,7 @@
     const core = this.find(hostName);
     const target: RemoteTarget = { hostName, isUp: () => core?.isAlive ?? false };
     return callRemote(this.network, this.localHost, this.host, target, timeoutMs, () => {
-      if (!core) throw new Error('no such back end');
+      if (!core) throw new Error('backend not found');
       return handle(core);
     });
   }
--- a/src/lab/simulation/simulated-transports.ts
+++ b/src/lab/simulation/simulated-transports.ts
@@ -12,12 +12,12 @@
 
 const CONNECT_TIMEOUT_MS = 2_000;
 
-/** Name of the host in an address. */
+/** Returns the host name in an address. */
 export function hostNameOf(address: string): string {
   return address.slice(0, address.indexOf(':'));
 }
 
-/** What listens where, over all hosts. */
+/** Listeners, datagram receivers and open connections of all hosts. */
 export class SimulatedSockets {
   readonly listeners = new Map<string, (connection: SimulatedConnection) => void>();
   readonly datagramReceivers = new Map<string, (datagram: Uint8Array) => void>();
@@ -26,14 +26,14 @@
 
   constructor(readonly network: SimulatedNetwork) {}
 
-  /** Resets all connections of a host, as its crash or a broken switch does. */
+  /** Resets all connections of a host, as after a crash or a network failure. */
   resetConnections(hostName: string): void {
     for (const connection of [...this.connections]) {
       if (connection.localHost === hostName) connection.destroy();
     }
   }
 
-  /** Forgets what a crashed host listened on. */
+  /** Removes the listeners of a crashed host. */
   forget(hostName: string): void {
     for (const table of [this.listeners, this.datagramReceivers]) {
       for (const address of [...table.keys()]) {
@@ -48,7 +48,7 @@
   other: SimulatedConnection | undefined;
   private outgoing: OrderedPipe | undefined;
   private receiver: (frame: Uint8Array) => void = () => undefined;
-  private early: Uint8Array[] = [];
+  private bufferedFrames: Uint8Array[] = [];
   private hasReceiver = false;
   private closeCallbacks: (() => void)[] = [];
   private closed = false;
@@ -61,7 +61,7 @@
     sockets.connections.add(this);
   }
 
-  /** Joins two ends. */
+  /** Connects this end to the other one. */
   join(other: SimulatedConnection, remoteHost: string, receiver: HostClock): void {
     this.other = other;
     this.outgoing = new OrderedPipe(this.sockets.network, this.localHost, remoteHost, receiver);
@@ -78,24 +78,24 @@
   close(): void {
     const { other } = this;
     if (this.closed || !other) return;
-    this.outgoing?.send(() => other.ended());
-    this.ended();
+    this.outgoing?.send(() => other.handleClosed());
+    this.handleClosed();
   }
 
   destroy(): void {
     const { other, outgoing } = this;
     if (this.closed || !other) return;
     outgoing?.close();
-    // The reset overtakes nothing: what was under way is lost with it.
-    const reset = this.sockets.network.delayMs();
-    this.sockets.network.clock.setTimer(reset, () => other.ended());
-    this.ended();
+    // Frames in flight are dropped; the other end sees the reset after a network delay.
+    const resetDelayMs = this.sockets.network.delayMs();
+    this.sockets.network.clock.setTimer(resetDelayMs, () => other.handleClosed());
+    this.handleClosed();
   }
 
   onFrame(receiver: (frame: Uint8Array) => void): void {
     this.receiver = receiver;
     this.hasReceiver = true;
-    for (const frame of this.early.splice(0)) receiver(frame);
+    for (const frame of this.bufferedFrames.splice(0)) receiver(frame);
   }
 
   onClose(callback: () => void): void {
@@ -104,16 +104,16 @@
   }
 
   onDrain(): void {
-    // The simulated send buffer never fills.
+    // The simulated send buffer has no limit.
   }
 
   private receive(frame: Uint8Array): void {
     if (this.closed) return;
     if (this.hasReceiver) this.receiver(frame);
-    else this.early.push(frame);
+    else this.bufferedFrames.push(frame);
   }
 
-  private ended(): void {
+  private handleClosed(): void {
     if (this.closed) return;
     this.closed = true;
     this.sockets.connections.delete(this);
@@ -172,12 +172,12 @@
     onConnection: (connection: SimulatedConnection) => void,
   ): FrameConnection {
     const remoteHost = hostNameOf(address);
-    const near = new SimulatedConnection(this.sockets, this.hostName, address);
-    const far = new SimulatedConnection(this.sockets, remoteHost, `${this.hostName}:0`);
-    near.join(far, remoteHost, remote);
-    far.join(near, this.hostName, this.host);
-    remote.deliver(() => onConnection(far));
-    return near;
+    const localEnd = new SimulatedConnection(this.sockets, this.hostName, address);
+    const remoteEnd = new SimulatedConnection(this.sockets, remoteHost, `${this.hostName}:0`);
+    localEnd.join(remoteEnd, remoteHost, remote);
+    remoteEnd.join(localEnd, this.hostName, this.host);
+    remote.deliver(() => onConnection(remoteEnd));
+    return localEnd;
   }
 }
 
--- a/src/lab/simulation/stand-in-fleet.ts
+++ b/src/lab/simulation/stand-in-fleet.ts
@@ -1,4 +1,4 @@
-/** The stand-ins of a simulated deployment: platform, engines, plain back ends. */
+/** The fake services of a simulated deployment: platform, engines, plain backends. */
 import type { Machine } from '../../protocol/machine-list/port.js';
 import type { Clock } from '../../runtime/clock.js';
 import type { Hasher } from '../../runtime/hasher.js';
@@ -13,14 +13,14 @@
 /** Port of every simulated process. */
 export const SIMULATED_PORT = 1;
 
-/** A zone and the data centre it belongs to. */
-export interface SimulatedPlace {
+/** A zone and its data centre. */
+export interface SimulatedLocation {
   readonly zone: string;
   readonly site: string;
 }
 
-/** All stand-ins, by the host names that are their identifiers. */
-export class StandInFleet {
+/** All fake services, by host name; the host name is also the identifier. */
+export class FakeFleet {
   readonly store: ObjectStore;
   readonly machines: MachineRegistry;
   readonly engines: EngineCore[] = [];
@@ -40,7 +40,7 @@
   }
 
   /** Adds an engine and puts it on the machine list. */
-  addEngine(settings: EngineModelSettings, place: SimulatedPlace): EngineCore {
+  addEngine(settings: EngineModelSettings, place: SimulatedLocation): EngineCore {
     const { clock, random, hasher, tokenModel } = this;
     const core = new EngineCore(settings, clock, random, hasher, tokenModel, 1);
     this.engines.push(core);
@@ -49,12 +49,12 @@
     return core;
   }
 
-  /** Adds a plain back end and puts it on the machine list. */
+  /** Adds a plain backend and puts it on the machine list. */
   addBackend(
     backendId: string,
     workMs: number,
     services: readonly string[],
-    place: SimulatedPlace,
+    place: SimulatedLocation,
   ): void {
     const MAXIMUM_RUNNING = 16;
     const settings = { backendId, workMs, maximumRunning: MAXIMUM_RUNNING };
@@ -62,8 +62,8 @@
     this.machines.put(machineOf(backendId, 'backend', place, services));
   }
 
-  /** Puts a machine on the list that no stand-in answers for, as hollow runs do. */
-  addHollowEngine(engineId: string, place: SimulatedPlace): void {
+  /** Puts an engine on the machine list without creating a fake for it; used by scale runs. */
+  addHollowEngine(engineId: string, place: SimulatedLocation): void {
     this.machines.put(machineOf(engineId, 'engine', place, []));
   }
 
@@ -79,7 +79,7 @@
 function machineOf(
   id: string,
   kind: Machine['kind'],
-  place: SimulatedPlace,
+  place: SimulatedLocation,
   services: readonly string[],
 ): Machine {
   return { id, kind, address: `${id}:${SIMULATED_PORT}`, ...place, services, leaving: false };
--- a/src/lab/simulation/traffic-meter.ts
+++ b/src/lab/simulation/traffic-meter.ts
@@ -1,22 +1,23 @@
-/** Counts what simulated hosts send, by kind of message. */
+/** Counts the traffic that simulated hosts send, by message kind. */
 import { PeerMessageSchema } from '../../protocol/peer/generated/peer_pb.js';
 
-/** Bytes and messages of one kind. */
+/** Traffic of one message kind. */
 export interface TrafficCount {
   bytes: number;
   messages: number;
 }
 
-/** Kind under which membership datagrams are counted. */
+/** Kind for membership datagrams. */
 export const DATAGRAM_KIND = 'datagram';
-/** Bytes that UDP and IP add to a datagram, and the length before each frame adds to it. */
+/** Size of the UDP and IPv4 headers. */
 const DATAGRAM_OVERHEAD_BYTES = 28;
+/** Size of the length prefix of a frame. */
 const FRAME_OVERHEAD_BYTES = 4;
 
-const FIELD_NUMBER_SHIFT = 3;
-const LOW_BITS = 0x7f;
+const WIRE_TYPE_BITS = 3;
+const VARINT_PAYLOAD_MASK = 0x7f;
 const CONTINUATION_BIT = 0x80;
-const VARINT_SHIFT = 7;
+const VARINT_PAYLOAD_BITS = 7;
 
 /** Traffic of all hosts since the last reset. */
 export class TrafficMeter {
@@ -30,7 +31,7 @@
     this.count(kindOf(frame), frame.length + FRAME_OVERHEAD_BYTES);
   }
 
-  /** Counts by kind, largest first. */
+  /** Returns the counts by kind, sorted by bytes in descending order. */
   byKind(): [string, TrafficCount][] {
     return [...this.kinds]
       .map(([kind, count]): [string, TrafficCount] => [kind, { ...count }])
@@ -46,13 +47,13 @@
   }
 
   private count(kind: string, bytes: number): void {
-    const present = this.kinds.get(kind);
-    if (!present) {
+    const existing = this.kinds.get(kind);
+    if (!existing) {
       this.kinds.set(kind, { bytes, messages: 1 });
       return;
     }
-    present.bytes += bytes;
-    present.messages += 1;
+    existing.bytes += bytes;
+    existing.messages += 1;
   }
 }
 
@@ -60,10 +61,10 @@
   PeerMessageSchema.fields.map((field) => [field.number, field.localName]),
 );
 
-/** The message's case, read from the tag of its only field. */
+/** Returns the message's case, read from the protobuf tag of its first field. */
 function kindOf(frame: Uint8Array): string {
   const [first = 0, second = 0] = frame;
   const isLong = (first & CONTINUATION_BIT) !== 0;
-  const tag = (first & LOW_BITS) + (isLong ? second << VARINT_SHIFT : 0);
-  return NAMES_BY_NUMBER.get(tag >> FIELD_NUMBER_SHIFT) ?? 'unknown';
+  const tag = (first & VARINT_PAYLOAD_MASK) + (isLong ? second << VARINT_PAYLOAD_BITS : 0);
+  return NAMES_BY_NUMBER.get(tag >> WIRE_TYPE_BITS) ?? 'unknown';
 }
--- a/src/lab/simulation/world-settings.ts
+++ b/src/lab/simulation/world-settings.ts
@@ -1,9 +1,9 @@
-/** The small deployment that the fuzz runs on: 3 routers in 3 zones, 2 agents, 4 engines, 2 back ends. */
+/** Size and configuration of the simulated deployment for fuzz tests. */
 import { hashKey } from '../../coordination/shared/configuration.js';
 import type { TemplateSet } from '../../state/template-set.js';
 
-/** Zones of the simulated deployment, and their sites. */
-export const WORLD_ZONES = [
+/** Zones and their sites. */
+export const SIMULATION_ZONES = [
   { zone: 'zone-a', site: 'old' },
   { zone: 'zone-b', site: 'old' },
   { zone: 'zone-c', site: 'new' },
@@ -14,28 +14,28 @@
 export const WORLD_ENGINES = 4;
 export const WORLD_BACKENDS = 2;
 export const WORLD_TENANTS = ['tenant-a', 'tenant-b'] as const;
-export const WORLD_MODEL = 'model';
-export const WORLD_SERVICE = 'booking';
+export const SIMULATION_MODEL = 'model';
+export const SIMULATION_SERVICE = 'booking';
 
-/** Weights by version name. */
-export const WORLD_WEIGHTS = { v1: 'weights-one', v2: 'weights-two' } as const;
+/** Weights digests by version name. */
+export const SIMULATION_WEIGHTS = { v1: 'weights-one', v2: 'weights-two' } as const;
 
-/** A version name of the simulated model. */
-export type WorldVersion = keyof typeof WORLD_WEIGHTS;
+/** A version name of the model. */
+export type WorldVersion = keyof typeof SIMULATION_WEIGHTS;
 
-/** The first configuration. */
+/** Returns a configuration with the given model version and request priority. */
 export function worldTemplates(version: WorldVersion, priority: number): TemplateSet {
   return {
     models: {
-      [WORLD_MODEL]: {
+      [SIMULATION_MODEL]: {
         versions: {
-          v1: { weights_digest: WORLD_WEIGHTS.v1, adapter_digest: '' },
-          v2: { weights_digest: WORLD_WEIGHTS.v2, adapter_digest: '' },
+          v1: { weights_digest: SIMULATION_WEIGHTS.v1, adapter_digest: '' },
+          v2: { weights_digest: SIMULATION_WEIGHTS.v2, adapter_digest: '' },
         },
       },
     },
     services: {
-      [WORLD_SERVICE]: {
+      [SIMULATION_SERVICE]: {
         operations: {
           menu: { repeatable: true, hedged: true },
           hold: { repeatable: false, hedged: false },
@@ -44,8 +44,8 @@
     },
     templates: {
       standard: {
-        models: { [WORLD_MODEL]: version },
-        services: [WORLD_SERVICE],
+        models: { [SIMULATION_MODEL]: version },
+        services: [SIMULATION_SERVICE],
         prefix_budget_tokens: 100_000,
         site_shares: { old: 0.5, new: 0.5 },
         priority,
--- a/src/lab/simulation/world.ts
+++ b/src/lab/simulation/world.ts
@@ -1,4 +1,4 @@
-/** A whole small deployment in one process, on a virtual clock and a simulated network. */
+/** A small deployment in one process, on a virtual clock and a simulated network. */
 import type { AgentNode } from '../../coordination/agent/agent-node.js';
 import { identifierForKey } from '../../coordination/agent/idempotency-keys.js';
 import { TEMPLATES_OBJECT } from '../../coordination/router/platform-reader.js';
@@ -17,16 +17,16 @@
 import { ObservedRequest } from './observed-request.js';
 import { type Hosted, SimulatedCluster, type SimulatedNodeSettings } from './simulated-cluster.js';
 import type { SimulatedNetwork } from './simulated-network.js';
-import type { SimulatedPlace, StandInFleet } from './stand-in-fleet.js';
+import type { SimulatedLocation, FakeFleet } from './stand-in-fleet.js';
 import {
   WORLD_AGENTS,
   WORLD_BACKENDS,
   WORLD_ENGINES,
-  WORLD_MODEL,
+  SIMULATION_MODEL,
   WORLD_ROUTERS,
-  WORLD_SERVICE,
-  WORLD_WEIGHTS,
-  WORLD_ZONES,
+  SIMULATION_SERVICE,
+  SIMULATION_WEIGHTS,
+  SIMULATION_ZONES,
   type WorldVersion,
   worldTemplates,
 } from './world-settings.js';
@@ -34,23 +34,23 @@
 const MACHINE_LIST_LAG_MS = 500;
 const REGION = 'region';
 
-/** A generation taken by an engine. */
+/** A generation that an engine accepted. */
 export interface EngineAcceptance {
   readonly engineId: string;
   readonly engineRequestId: string;
   readonly atMs: number;
-  /** Since when the deployment was undisturbed at that moment; Infinity while it was not. */
-  readonly quietSinceMs: number;
+  /** Start of the fault-free period that includes `atMs`; Infinity if a fault was active. */
+  readonly undisturbedSinceMs: number;
 }
 
-/** A use of kept cache that must not be. */
+/** A forbidden reuse of a cached block. */
 export interface ReuseViolation {
   readonly usedBy: string;
   readonly createdBy: string;
   readonly reason: string;
 }
 
-/** The deployment. */
+/** A simulated deployment, its injected faults and the record that the oracle checks. */
 export class World {
   readonly clock: VirtualClock;
   readonly network: SimulatedNetwork;
@@ -63,17 +63,17 @@
   readonly requests: ObservedRequest[] = [];
   readonly acceptances: EngineAcceptance[] = [];
   readonly reuseViolations: ReuseViolation[] = [];
-  /** When the machine list was told that an engine leaves. */
+  /** Times at which engines were marked as leaving on the machine list. */
   readonly leavingSinceMs = new Map<string, number>();
-  /** Nodes whose configuration fell back. */
+  /** Descriptions of nodes whose configuration returned to an older revision. */
   readonly regressions: string[] = [];
   private readonly seenRevisions = new Map<HostClock, bigint>();
-  /** Since when nothing is cut, paused or down; Infinity while something is. */
-  private quietSinceMs = 0;
+  /** Start of the current period without cuts, pauses or outages; Infinity during one. */
+  private undisturbedSinceMs = 0;
   private readonly cluster: SimulatedCluster;
-  private readonly fleet: StandInFleet;
+  private readonly fleet: FakeFleet;
   private readonly tenantOfRequest = new Map<string, string>();
-  private prompts = 0;
+  private promptCount = 0;
 
   private constructor(cluster: SimulatedCluster) {
     this.cluster = cluster;
@@ -86,49 +86,49 @@
     this.backendStore = cluster.fleet.backendStore;
   }
 
-  /** Builds the deployment and lets it come up. */
+  /** Creates the deployment and waits until it has started. */
   static async create(seed: number, protections = ALL_PROTECTIONS): Promise<World> {
     const hasher = await createHasher();
     const model = await createTokenModel();
     const cluster = new SimulatedCluster(seed, protections, hasher, model, MACHINE_LIST_LAG_MS);
-    const world = new World(cluster);
-    world.createPlatform();
+    const simulation = new World(cluster);
+    simulation.createPlatform();
     for (let index = 0; index < WORLD_ROUTERS; index += 1) {
-      world.routers.push(world.startRouter(index));
+      simulation.routers.push(simulation.startRouter(index));
     }
     for (let index = 0; index < WORLD_AGENTS; index += 1) {
-      world.agents.push(world.startAgent(index));
+      simulation.agents.push(simulation.startAgent(index));
     }
-    const OBSERVATION_MS = 50;
-    repeat(world.clock, OBSERVATION_MS, () => world.observeRevisions());
-    const SETTLING_MS = 3_000;
-    await world.clock.advance(SETTLING_MS);
-    return world;
+    const OBSERVATION_INTERVAL_MS = 50;
+    repeat(simulation.clock, OBSERVATION_INTERVAL_MS, () => simulation.observeRevisions());
+    const STARTUP_MS = 3_000;
+    await simulation.clock.advance(STARTUP_MS);
+    return simulation;
   }
 
-  /** Crashes a router: its process is gone, its connections break. */
+  /** Terminates a router and resets its connections. */
   crashRouter(index: number): void {
     const router = this.routers[index];
     if (!router || router.host.isStopped) return;
     this.cluster.crash(router);
   }
 
-  /** Brings a crashed or stopped router back, empty. */
+  /** Restarts a crashed or stopped router without its earlier state. */
   restartRouter(index: number): void {
     if (!this.routers[index]?.host.isStopped) return;
     this.routers[index] = this.startRouter(index);
   }
 
-  /** Stops a router by plan; its host ends when it is done. */
+  /** Stops a router gracefully, then its host. */
   stopRouter(index: number): Promise<void> {
     const router = this.routers[index];
-    return router ? this.cluster.stopByPlan(router) : Promise.resolve();
+    return router ? this.cluster.stopGracefully(router) : Promise.resolve();
   }
 
-  /** Stops an agent by plan. */
+  /** Stops an agent gracefully, then its host. */
   stopAgent(index: number): Promise<void> {
     const agent = this.agents[index];
-    return agent ? this.cluster.stopByPlan(agent) : Promise.resolve();
+    return agent ? this.cluster.stopGracefully(agent) : Promise.resolve();
   }
 
   restartAgent(index: number): void {
@@ -136,12 +136,12 @@
     this.agents[index] = this.startAgent(index);
   }
 
-  /** Writes a configuration as an operator would; answers its version. */
+  /** Writes a configuration as an operator would; returns its version. */
   writeTemplates(version: WorldVersion, priority: number): number {
-    const present = this.store.read(TEMPLATES_OBJECT)?.version ?? 0;
+    const currentVersion = this.store.read(TEMPLATES_OBJECT)?.version ?? 0;
     const content = JSON.stringify({ configuration: worldTemplates(version, priority) });
-    const result = this.store.write(TEMPLATES_OBJECT, content, present);
-    return result.kind === 'written' ? result.version : present;
+    const result = this.store.write(TEMPLATES_OBJECT, content, currentVersion);
+    return result.kind === 'written' ? result.version : currentVersion;
   }
 
   get tokenModel(): TokenModel {
@@ -149,17 +149,17 @@
   }
 
   weightsOf(version: WorldVersion): string {
-    return WORLD_WEIGHTS[version];
+    return SIMULATION_WEIGHTS[version];
   }
 
   get configurationVersion(): number {
     return this.store.read(TEMPLATES_OBJECT)?.version ?? 0;
   }
 
-  /** Loads other weights into a running engine, which keeps the cache it has. */
+  /** Loads other weights into a running engine without clearing its cache. */
   loadWeights(engineIndex: number, version: WorldVersion): void {
     const core = this.engines[engineIndex];
-    if (core) core.settings.weightsDigest = WORLD_WEIGHTS[version];
+    if (core) core.settings.weightsDigest = SIMULATION_WEIGHTS[version];
   }
 
   setLeaving(engineIndex: number, leaving: boolean): void {
@@ -170,32 +170,32 @@
     else this.leavingSinceMs.delete(engineId);
   }
 
-  /** Cuts the way between two hosts. */
+  /** Cuts the link between two hosts. */
   cut(left: string, right: string): void {
     this.network.cut(left, right);
-    this.quietSinceMs = Number.POSITIVE_INFINITY;
+    this.undisturbedSinceMs = Number.POSITIVE_INFINITY;
   }
 
-  /** Freezes a router. */
+  /** Freezes a router until {@link heal}. */
   pauseRouter(index: number): void {
     this.routers[index]?.host.pause();
-    this.quietSinceMs = Number.POSITIVE_INFINITY;
+    this.undisturbedSinceMs = Number.POSITIVE_INFINITY;
   }
 
   setPlatformDown(down: boolean): void {
     this.store.faults.down = down;
-    if (down) this.quietSinceMs = Number.POSITIVE_INFINITY;
-    else this.noteIfQuiet();
+    if (down) this.undisturbedSinceMs = Number.POSITIVE_INFINITY;
+    else this.updateUndisturbedSince();
   }
 
-  /** Ends all cuts and pauses. */
+  /** Ends all network cuts and pauses. */
   heal(): void {
     this.network.heal();
     for (const { host } of this.routers) host.unpause();
-    this.noteIfQuiet();
+    this.updateUndisturbedSince();
   }
 
-  /** Ends every fault, brings everything back and waits until nothing is under way. */
+  /** Ends all faults, restarts all processes, and waits for requests and configurations. */
   async settle(): Promise<void> {
     this.setPlatformDown(false);
     this.store.faults.delayMs = 0;
@@ -207,30 +207,30 @@
     }
     for (const core of this.backends) if (!core.isAlive) core.restart();
     this.restartAll();
-    const ALL_ENDED_LIMIT_MS = 25_000;
+    const REQUESTS_TIMEOUT_MS = 25_000;
     const STEP_MS = 250;
     const ended = (): boolean => this.requests.every((request) => request.isEnded);
-    await this.clock.advanceUntil(ended, ALL_ENDED_LIMIT_MS, STEP_MS);
-    // Planned stops end soon after the last request; those processes come back too.
-    const STOPS_MS = 1_000;
-    await this.clock.advance(STOPS_MS);
+    await this.clock.advanceUntil(ended, REQUESTS_TIMEOUT_MS, STEP_MS);
+    // Graceful stops finish shortly after the last request; then those processes restart too.
+    const SHUTDOWN_MS = 1_000;
+    await this.clock.advance(SHUTDOWN_MS);
     this.restartAll();
     const CONVERGENCE_MS = 8_000;
     await this.clock.advance(CONVERGENCE_MS);
   }
 
-  /** Asks for a generation over a prompt with a shared beginning. */
+  /** Submits a generation whose prompt shares a prefix with the others. */
   generate(agentIndex: number, tenant: string, branch: number, deadlineMs: number): void {
     const agent = this.agents[agentIndex];
     if (!agent || agent.stopping || !agent.host.isRunning) return;
-    this.prompts += 1;
-    const SHARED = 40;
-    const BRANCH = 20;
-    // The same text for both tenants, so that only the salt keeps their caches apart.
+    this.promptCount += 1;
+    const SHARED_REPETITIONS = 40;
+    const BRANCH_REPETITIONS = 20;
+    // Both tenants use the same text, so that only the salt separates their cached blocks.
     const text =
-      'shared beginning of all prompts. '.repeat(SHARED) +
-      `branch ${branch} of them. `.repeat(BRANCH) +
-      `question ${this.prompts}`;
+      'shared beginning of all prompts. '.repeat(SHARED_REPETITIONS) +
+      `branch ${branch} of them. `.repeat(BRANCH_REPETITIONS) +
+      `question ${this.promptCount}`;
     const prompt = new TextEncoder().encode(text);
     const requestId = agent.node.mintRequestId();
     const MINIMUM_TOKENS = 3;
@@ -242,14 +242,14 @@
       deadlineMs,
       priority: 0,
       keyed: false,
-      routeKey: agent.node.routeKeyOf(tenant, WORLD_MODEL, prompt, requestId),
-      model: WORLD_MODEL,
+      routeKey: agent.node.routeKeyOf(tenant, SIMULATION_MODEL, prompt, requestId),
+      model: SIMULATION_MODEL,
       prompt,
       maxTokens: MINIMUM_TOKENS + randomInteger(this.cluster.random, TOKEN_RANGE),
     });
   }
 
-  /** Asks for an operation, perhaps under an idempotency key that others use too. */
+  /** Submits an operation, optionally with an idempotency key that other requests use too. */
   operate(
     agentIndex: number,
     tenant: string,
@@ -271,7 +271,7 @@
       priority: 0,
       keyed: isKeyed,
       routeKey: agent.node.operationKeyOf(requestId),
-      service: WORLD_SERVICE,
+      service: SIMULATION_SERVICE,
       operation,
       payload: new TextEncoder().encode('{}'),
       repeatable: operation === 'menu',
@@ -282,7 +282,8 @@
     for (const { name, host, node } of [...this.routers, ...this.agents]) {
       const { revision } = node.configuration;
       const seen = this.seenRevisions.get(host) ?? 0n;
-      if (revision < seen) this.regressions.push(`${name} fell from ${seen} to ${revision}`);
+      if (revision < seen)
+        this.regressions.push(`${name} returned from revision ${seen} to ${revision}`);
       this.seenRevisions.set(host, revision);
     }
   }
@@ -292,10 +293,11 @@
     for (const index of this.agents.keys()) this.restartAgent(index);
   }
 
-  private noteIfQuiet(): void {
+  private updateUndisturbedSince(): void {
     const paused = this.routers.some(({ host }) => !host.isRunning && !host.isStopped);
     if (this.store.faults.down || paused || this.network.hasCuts) return;
-    if (this.quietSinceMs === Number.POSITIVE_INFINITY) this.quietSinceMs = this.clock.now();
+    if (this.undisturbedSinceMs === Number.POSITIVE_INFINITY)
+      this.undisturbedSinceMs = this.clock.now();
   }
 
   private submit(agent: AgentNode, request: ObservedRequest['request']): void {
@@ -318,25 +320,25 @@
       {
         ...DEFAULT_ENGINE_SETTINGS,
         engineId,
-        model: WORLD_MODEL,
-        weightsDigest: WORLD_WEIGHTS.v1,
+        model: SIMULATION_MODEL,
+        weightsDigest: SIMULATION_WEIGHTS.v1,
         cacheBlocks: CACHE_BLOCKS,
       },
-      placeOf(index),
+      locationOf(index),
     );
     core.onAccept = ({ engineRequestId }) =>
       this.acceptances.push({
         engineId,
         engineRequestId,
         atMs: this.clock.now(),
-        quietSinceMs: this.quietSinceMs,
+        undisturbedSinceMs: this.undisturbedSinceMs,
       });
     core.onReuse = (audit) => this.auditReuse(audit);
   }
 
   private createBackend(index: number): void {
     const WORK_MS = 30;
-    this.fleet.addBackend(`backend-${index}`, WORK_MS, [WORLD_SERVICE], placeOf(index));
+    this.fleet.addBackend(`backend-${index}`, WORK_MS, [SIMULATION_SERVICE], locationOf(index));
   }
 
   private auditReuse(audit: Parameters<NonNullable<EngineCore['onReuse']>>[0]): void {
@@ -349,7 +351,7 @@
     }
   }
 
-  /** Tenant of the request an engine's identifier belongs to. */
+  /** Returns the tenant of the request that an engine's request identifier belongs to. */
   private tenantOf(engineRequestId: string): string | undefined {
     return this.tenantOfRequest.get(requestIdOf(engineRequestId));
   }
@@ -363,16 +365,16 @@
   }
 }
 
-function placeOf(index: number): SimulatedPlace {
-  return WORLD_ZONES[index % WORLD_ZONES.length] ?? WORLD_ZONES[0];
+function locationOf(index: number): SimulatedLocation {
+  return SIMULATION_ZONES[index % SIMULATION_ZONES.length] ?? SIMULATION_ZONES[0];
 }
 
 function nodeSettings(name: string, index: number): SimulatedNodeSettings {
   const contacts = Array.from({ length: WORLD_ROUTERS }, (_, other) => `router-${other}`);
-  return { name, zone: placeOf(index).zone, region: REGION, contacts };
+  return { name, zone: locationOf(index).zone, region: REGION, contacts };
 }
 
-/** The request that an engine's identifier `REQUEST.ROUTER-ATTEMPT.ENGINE-ATTEMPT` belongs to. */
+/** Returns REQUEST from an engine's identifier `REQUEST.ROUTER-ATTEMPT.ENGINE-ATTEMPT`. */
 export function requestIdOf(engineRequestId: string): string {
   return engineRequestId.slice(0, engineRequestId.indexOf('.'));
 }
