--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -94,9 +94,9 @@
   {
     name: 'a partial event is forwarded before the stream is resumed elsewhere',
     promise: 'whole-answer',
-    file: 'src/coordination/gateway/request-call.ts',
-    text: 'if (!this.grant?.route.isResumable) {',
-    replacement: 'if (this.grant) {',
+    file: 'src/coordination/gateway/call-response.ts',
+    text: 'if (!this.mode.isResumable) return',
+    replacement: 'if (this.mode) return',
   },
   {
     name: 'requests that crash engines are never quarantined',
@@ -116,7 +116,7 @@
     name: 'no load commands are sent to engines',
     promise: 'weights-in-force',
     file: 'src/coordination/gateway/weight-coordinator.ts',
-    text: 'void this.order(engine, model, version)',
+    text: 'void this.loadCommands.send(engine, model, version)',
     replacement: 'void [engine, model, version]',
   },
 ];
