--- a/bench/deployment.ts
+++ b/bench/deployment.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import { stringify } from 'yaml';
-import { worldTemplates } from '../src/lab/simulation/world-settings.js';
+import { simulationTemplates } from '../src/lab/simulation/simulation-settings.js';
 import { startAgent } from '../src/programs/agent-program.js';
 import {
   engineSettingsOf,
@@ -41,7 +41,7 @@
     ...behaviour,
   });
   const engine = await startEngine(settings, ANY_ADDRESS);
-  const templates = worldTemplates('v1', 0);
+  const templates = simulationTemplates('v1', 0);
   if (templates.templates.standard) templates.templates.standard.site_shares = { old: 1 };
   const { address } = engine.server;
   const location = { zone: 'zone-a', site: 'old' };
--- a/fuzz/commands.ts
+++ b/fuzz/commands.ts
@@ -1,25 +1,25 @@
 /** Commands of the stateful fuzz test: requests of each kind, and faults of every component. */
 import fc from 'fast-check';
 import {
-  WORLD_AGENTS,
-  WORLD_BACKENDS,
-  WORLD_ENGINES,
-  WORLD_ROUTERS,
-  WORLD_TENANTS,
-  type WorldVersion,
-} from '../src/lab/simulation/world-settings.js';
-import type { World } from '../src/lab/simulation/world.js';
+  SIMULATION_AGENTS,
+  SIMULATION_BACKENDS,
+  SIMULATION_ENGINES,
+  SIMULATION_ROUTERS,
+  SIMULATION_TENANTS,
+  type SimulationVersion,
+} from '../src/lab/simulation/simulation-settings.js';
+import type { DeploymentSimulation } from '../src/lab/simulation/deployment-simulation.js';
 
 /** Empty model: commands keep no state, and the oracle reads the simulation instead. */
 export type NoModel = Record<string, never>;
 
 /** A command that runs on a simulated deployment. */
-export type SimulationCommand = fc.AsyncCommand<NoModel, World>;
+export type SimulationCommand = fc.AsyncCommand<NoModel, DeploymentSimulation>;
 
 /** Creates a command that may run at any time. */
 function command(
   description: string,
-  action: (simulation: World) => Promise<void> | void,
+  action: (simulation: DeploymentSimulation) => Promise<void> | void,
 ): SimulationCommand {
   return {
     check: () => true,
@@ -30,13 +30,13 @@
   };
 }
 
-const router = fc.nat(WORLD_ROUTERS - 1);
-const agent = fc.nat(WORLD_AGENTS - 1);
-const engine = fc.nat(WORLD_ENGINES - 1);
-const backend = fc.nat(WORLD_BACKENDS - 1);
-const tenant = fc.constantFrom(...WORLD_TENANTS);
+const router = fc.nat(SIMULATION_ROUTERS - 1);
+const agent = fc.nat(SIMULATION_AGENTS - 1);
+const engine = fc.nat(SIMULATION_ENGINES - 1);
+const backend = fc.nat(SIMULATION_BACKENDS - 1);
+const tenant = fc.constantFrom(...SIMULATION_TENANTS);
 const deadline = fc.constantFrom(400, 3_000, 10_000);
-const version: fc.Arbitrary<WorldVersion> = fc.constantFrom('v1', 'v2');
+const version: fc.Arbitrary<SimulationVersion> = fc.constantFrom('v1', 'v2');
 
 const generate = fc
   .tuple(agent, tenant, fc.nat(2), deadline, fc.integer({ min: 1, max: 4 }))
@@ -45,7 +45,7 @@
       `generate(${agentIndex}, ${name}, ${branch}, ${deadlineMs}, x${count})`,
       (simulation) => {
         for (let index = 0; index < count; index += 1) {
-          simulation.generate(agentIndex, name, branch, deadlineMs);
+          simulation.submitGeneration(agentIndex, name, branch, deadlineMs);
         }
       },
     ),
@@ -61,14 +61,14 @@
   )
   .map(([agentIndex, name, operation, key, deadlineMs]) =>
     command(`operate(${agentIndex}, ${name}, ${operation}, ${key}, ${deadlineMs})`, (simulation) =>
-      simulation.operate(agentIndex, name, operation, key, deadlineMs),
+      simulation.submitOperation(agentIndex, name, operation, key, deadlineMs),
     ),
   );
 
 const hangUp = fc.nat(5).map((index) =>
   command(`hangUp(${index})`, (simulation) => {
     const open = simulation.requests.filter((request) => !request.isEnded);
-    open[index % Math.max(1, open.length)]?.hangUp();
+    open[index % Math.max(1, open.length)]?.disconnect();
   }),
 );
 
@@ -82,14 +82,14 @@
 
 const restartRouters = fc.constant(undefined).map(() =>
   command('restartRouters', (simulation) => {
-    for (let index = 0; index < WORLD_ROUTERS; index += 1) simulation.restartRouter(index);
+    for (let index = 0; index < SIMULATION_ROUTERS; index += 1) simulation.restartRouter(index);
   }),
 );
 
 const herdRestart = fc.constant(undefined).map(() =>
   command('herdRestart', (simulation) => {
-    for (let index = 0; index < WORLD_ROUTERS; index += 1) simulation.crashRouter(index);
-    for (let index = 0; index < WORLD_ROUTERS; index += 1) simulation.restartRouter(index);
+    for (let index = 0; index < SIMULATION_ROUTERS; index += 1) simulation.crashRouter(index);
+    for (let index = 0; index < SIMULATION_ROUTERS; index += 1) simulation.restartRouter(index);
   }),
 );
 
@@ -124,7 +124,7 @@
 
 const upgrade = version.map((name) =>
   command(`upgrade(${name})`, (simulation) => {
-    for (let index = 0; index < WORLD_ENGINES; index += 1) simulation.loadWeights(index, name);
+    for (let index = 0; index < SIMULATION_ENGINES; index += 1) simulation.loadWeights(index, name);
     simulation.writeTemplates(name, 0);
   }),
 );
@@ -210,7 +210,7 @@
 
 /** Generates sequences of commands. Requests and clock advances are drawn most often. */
 export function simulationCommands(maximum: number): fc.Arbitrary<Iterable<SimulationCommand>> {
-  return fc.commands<NoModel, World, false>(
+  return fc.commands<NoModel, DeploymentSimulation, false>(
     [
       generate,
       generate,
--- a/fuzz/run.ts
+++ b/fuzz/run.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { ALL_PROTECTIONS, type Protections } from '../src/coordination/router/settings.js';
 import { findViolations } from '../src/lab/simulation/oracle.js';
-import { World } from '../src/lab/simulation/world.js';
+import { DeploymentSimulation } from '../src/lab/simulation/deployment-simulation.js';
 import { type SimulationCommand, simulationCommands } from './commands.js';
 
 /** Maximum number of commands in one run. */
@@ -29,7 +29,7 @@
   commands: Iterable<SimulationCommand>,
   protections: Protections,
 ): Promise<void> {
-  const simulation = await World.create(seed, protections);
+  const simulation = await DeploymentSimulation.create(seed, protections);
   await fc.asyncModelRun(() => ({ model: {}, real: simulation }), commands);
   await simulation.settle();
   const violations = findViolations(simulation);
--- a/src/lab/engine/lagging-load.ts
+++ b/src/lab/engine/delayed-load-report.ts
@@ -3,7 +3,7 @@
 import type { EngineLoadReport } from '../../protocol/engine/port.js';
 
 /** Caches a load report and refreshes it on a read after `lagMs`. */
-export class LaggingLoad {
+export class DelayedLoadReport {
   private lastReport: EngineLoadReport;
   private lastReportAtMs = Number.NEGATIVE_INFINITY;
 
--- a/src/lab/engine/engine-core.ts
+++ b/src/lab/engine/engine-core.ts
@@ -21,7 +21,7 @@
 } from '../../state/prefix-chain.js';
 import { BlockCache, type CachedBlock } from './block-cache.js';
 import { type EventFaults, EventLog } from './event-log.js';
-import { LaggingLoad } from './lagging-load.js';
+import { DelayedLoadReport } from './delayed-load-report.js';
 import { EngineSequence, SequenceState } from './sequence.js';
 import { SequenceQueue } from './sequence-queue.js';
 import type { EngineModelSettings } from './settings.js';
@@ -74,7 +74,7 @@
   private arrivals = 0;
   private stepTimer: Timer | undefined;
   private isStalled = false;
-  private readonly load: LaggingLoad;
+  private readonly load: DelayedLoadReport;
 
   constructor(
     readonly settings: EngineModelSettings,
@@ -91,7 +91,7 @@
     };
     this.log = new EventLog(this.eventFaults, random);
     this.cache = this.createCache();
-    this.load = new LaggingLoad(settings.loadLagMs, clock, () => this.presentLoad());
+    this.load = new DelayedLoadReport(settings.loadLagMs, clock, () => this.currentLoad());
   }
 
   get isAlive(): boolean {
@@ -161,13 +161,13 @@
   }
 
   /** Counts the leading cached blocks of a chain without marking them as used. */
-  countKept(chain: readonly bigint[]): number {
+  countCachedBlocks(chain: readonly bigint[]): number {
     const missing = chain.findIndex((hash) => !this.cache.get(hash));
     return missing < 0 ? chain.length : missing;
   }
 
   /** Returns the current load, without the delay of {@link status}. */
-  presentLoad(): EngineLoadReport {
+  currentLoad(): EngineLoadReport {
     let waitingTokens = 0;
     for (const sequence of this.queue.waiting) waitingTokens += sequence.promptTokens;
     for (const sequence of this.queue.running) waitingTokens += sequence.remainingPrefillTokens;
--- a/src/lab/engine/http-face.ts
+++ b/src/lab/engine/engine-server.ts
@@ -36,7 +36,7 @@
 });
 
 /** Starts the HTTP server of an engine. */
-export function startEngineFace(
+export function startEngineServer(
   core: EngineCore,
   clock: Clock,
   address: string,
--- a/src/lab/experiment/baseline-policies.ts
+++ b/src/lab/experiment/baseline-policies.ts
@@ -87,9 +87,9 @@
   }
 
   private cost(request: PlacedRequest, core: EngineCore): number {
-    const kept = core.countKept(request.blocks) * BLOCK_TOKENS;
+    const kept = core.countCachedBlocks(request.blocks) * BLOCK_TOKENS;
     const tokens = tokensOfBytes(request.prompt.length) - kept;
-    const load = core.presentLoad();
+    const load = core.currentLoad();
     const RECOMPUTE_EMPHASIS = 3;
     const emphasis = 1 + RECOMPUTE_EMPHASIS * this.recomputeWeight;
     return waitMsOf(load) + (tokens / load.prefillTokensPerSecond) * MS_PER_SECOND * emphasis;
--- a/src/lab/gateway-simulation/gateway-simulation.ts
+++ b/src/lab/gateway-simulation/gateway-simulation.ts
@@ -225,7 +225,7 @@
     this.routers.delete(name);
     router.host.stop();
     router.inference.breakAll();
-    this.sockets.forget(name);
+    this.sockets.removeListeners(name);
     for (const request of this.requests) {
       if (request.router === name) request.reply.abortIfOpen();
     }
@@ -280,7 +280,7 @@
     this.cutFromStore(index, forMs);
     this.disturbances.recordPartition(name, this.now, forMs);
     this.network.isolate(name);
-    this.clock.setTimer(forMs, () => this.network.join(name));
+    this.clock.setTimer(forMs, () => this.network.reconnect(name));
   }
 
   stopStore(forMs: number): void {
--- a/src/lab/scale/scale-cluster.ts
+++ b/src/lab/scale/scale-cluster.ts
@@ -4,8 +4,8 @@
 import { TEMPLATES_OBJECT } from '../../coordination/router/platform-reader.js';
 import { createHasher } from '../../runtime/hasher.js';
 import { createTokenModel } from '../engine/token-model.js';
-import { type Hosted, SimulatedCluster } from '../simulation/simulated-cluster.js';
-import { worldTemplates } from '../simulation/world-settings.js';
+import { type HostedProcess, SimulatedCluster } from '../simulation/simulated-cluster.js';
+import { simulationTemplates } from '../simulation/simulation-settings.js';
 import { HollowEnginePort, HollowEngines } from './hollow-engine-port.js';
 
 /** Size of a scale run. */
@@ -27,7 +27,7 @@
 
 /** A cluster of hollow routers. */
 export class ScaleCluster {
-  readonly nodes: Hosted<RouterNode>[] = [];
+  readonly nodes: HostedProcess<RouterNode>[] = [];
   private writes = 0;
 
   private constructor(
@@ -84,7 +84,7 @@
   }
 
   /** Nodes whose process runs. */
-  live(): Hosted<RouterNode>[] {
+  live(): HostedProcess<RouterNode>[] {
     return this.nodes.filter(({ host }) => host.isRunning);
   }
 
@@ -96,13 +96,13 @@
 
   /** Cuts the two regions off from each other. */
   cutRegions(): void {
-    this.cluster.network.cutAll(
+    this.cluster.network.setPartition(
       (left, right) => isNode(left) && isNode(right) && parityOf(left) !== parityOf(right),
     );
   }
 
   private configuration(): object {
-    const base = worldTemplates('v1', 0);
+    const base = simulationTemplates('v1', 0);
     const [example] = Object.values(base.tenants);
     const tenants = Object.fromEntries(
       Array.from({ length: this.size.tenants }, (_, index) => {
--- a/src/lab/simulation/world.ts
+++ b/src/lab/simulation/deployment-simulation.ts
@@ -15,21 +15,25 @@
 import type { ObjectStore } from '../platform/object-store.js';
 import type { HostClock } from './host-clock.js';
 import { ObservedRequest } from './observed-request.js';
-import { type Hosted, SimulatedCluster, type SimulatedNodeSettings } from './simulated-cluster.js';
+import {
+  type HostedProcess,
+  SimulatedCluster,
+  type SimulatedNodeSettings,
+} from './simulated-cluster.js';
 import type { SimulatedNetwork } from './simulated-network.js';
-import type { SimulatedLocation, FakeFleet } from './stand-in-fleet.js';
+import type { SimulatedLocation, FakeFleet } from './fake-fleet.js';
 import {
-  WORLD_AGENTS,
-  WORLD_BACKENDS,
-  WORLD_ENGINES,
+  SIMULATION_AGENTS,
+  SIMULATION_BACKENDS,
+  SIMULATION_ENGINES,
   SIMULATION_MODEL,
-  WORLD_ROUTERS,
+  SIMULATION_ROUTERS,
   SIMULATION_SERVICE,
   SIMULATION_WEIGHTS,
   SIMULATION_ZONES,
-  type WorldVersion,
-  worldTemplates,
-} from './world-settings.js';
+  type SimulationVersion,
+  simulationTemplates,
+} from './simulation-settings.js';
 
 const MACHINE_LIST_LAG_MS = 500;
 const REGION = 'region';
@@ -51,15 +55,15 @@
 }
 
 /** A simulated deployment, its injected faults and the record that the oracle checks. */
-export class World {
+export class DeploymentSimulation {
   readonly clock: VirtualClock;
   readonly network: SimulatedNetwork;
   readonly store: ObjectStore;
   readonly engines: readonly EngineCore[];
   readonly backends: readonly BackendCore[];
   readonly backendStore: BackendStore;
-  readonly routers: Hosted<RouterNode>[] = [];
-  readonly agents: Hosted<AgentNode>[] = [];
+  readonly routers: HostedProcess<RouterNode>[] = [];
+  readonly agents: HostedProcess<AgentNode>[] = [];
   readonly requests: ObservedRequest[] = [];
   readonly acceptances: EngineAcceptance[] = [];
   readonly reuseViolations: ReuseViolation[] = [];
@@ -87,16 +91,16 @@
   }
 
   /** Creates the deployment and waits until it has started. */
-  static async create(seed: number, protections = ALL_PROTECTIONS): Promise<World> {
+  static async create(seed: number, protections = ALL_PROTECTIONS): Promise<DeploymentSimulation> {
     const hasher = await createHasher();
     const model = await createTokenModel();
     const cluster = new SimulatedCluster(seed, protections, hasher, model, MACHINE_LIST_LAG_MS);
-    const simulation = new World(cluster);
+    const simulation = new DeploymentSimulation(cluster);
     simulation.createPlatform();
-    for (let index = 0; index < WORLD_ROUTERS; index += 1) {
+    for (let index = 0; index < SIMULATION_ROUTERS; index += 1) {
       simulation.routers.push(simulation.startRouter(index));
     }
-    for (let index = 0; index < WORLD_AGENTS; index += 1) {
+    for (let index = 0; index < SIMULATION_AGENTS; index += 1) {
       simulation.agents.push(simulation.startAgent(index));
     }
     const OBSERVATION_INTERVAL_MS = 50;
@@ -137,9 +141,9 @@
   }
 
   /** Writes a configuration as an operator would; returns its version. */
-  writeTemplates(version: WorldVersion, priority: number): number {
+  writeTemplates(version: SimulationVersion, priority: number): number {
     const currentVersion = this.store.read(TEMPLATES_OBJECT)?.version ?? 0;
-    const content = JSON.stringify({ configuration: worldTemplates(version, priority) });
+    const content = JSON.stringify({ configuration: simulationTemplates(version, priority) });
     const result = this.store.write(TEMPLATES_OBJECT, content, currentVersion);
     return result.kind === 'written' ? result.version : currentVersion;
   }
@@ -148,7 +152,7 @@
     return this.fleet.tokenModel;
   }
 
-  weightsOf(version: WorldVersion): string {
+  weightsOf(version: SimulationVersion): string {
     return SIMULATION_WEIGHTS[version];
   }
 
@@ -157,7 +161,7 @@
   }
 
   /** Loads other weights into a running engine without clearing its cache. */
-  loadWeights(engineIndex: number, version: WorldVersion): void {
+  loadWeights(engineIndex: number, version: SimulationVersion): void {
     const core = this.engines[engineIndex];
     if (core) core.settings.weightsDigest = SIMULATION_WEIGHTS[version];
   }
@@ -220,7 +224,7 @@
   }
 
   /** Submits a generation whose prompt shares a prefix with the others. */
-  generate(agentIndex: number, tenant: string, branch: number, deadlineMs: number): void {
+  submitGeneration(agentIndex: number, tenant: string, branch: number, deadlineMs: number): void {
     const agent = this.agents[agentIndex];
     if (!agent || agent.stopping || !agent.host.isRunning) return;
     this.promptCount += 1;
@@ -250,7 +254,7 @@
   }
 
   /** Submits an operation, optionally with an idempotency key that other requests use too. */
-  operate(
+  submitOperation(
     agentIndex: number,
     tenant: string,
     operation: 'menu' | 'hold',
@@ -309,8 +313,8 @@
 
   private createPlatform(): void {
     this.writeTemplates('v1', 0);
-    for (let index = 0; index < WORLD_ENGINES; index += 1) this.createEngine(index);
-    for (let index = 0; index < WORLD_BACKENDS; index += 1) this.createBackend(index);
+    for (let index = 0; index < SIMULATION_ENGINES; index += 1) this.createEngine(index);
+    for (let index = 0; index < SIMULATION_BACKENDS; index += 1) this.createBackend(index);
   }
 
   private createEngine(index: number): void {
@@ -356,11 +360,11 @@
     return this.tenantOfRequest.get(requestIdOf(engineRequestId));
   }
 
-  private startRouter(index: number): Hosted<RouterNode> {
+  private startRouter(index: number): HostedProcess<RouterNode> {
     return this.cluster.startRouter(nodeSettings(`router-${index}`, index));
   }
 
-  private startAgent(index: number): Hosted<AgentNode> {
+  private startAgent(index: number): HostedProcess<AgentNode> {
     return this.cluster.startAgent(nodeSettings(`agent-${index}`, index));
   }
 }
@@ -370,7 +374,7 @@
 }
 
 function nodeSettings(name: string, index: number): SimulatedNodeSettings {
-  const contacts = Array.from({ length: WORLD_ROUTERS }, (_, other) => `router-${other}`);
+  const contacts = Array.from({ length: SIMULATION_ROUTERS }, (_, other) => `router-${other}`);
   return { name, zone: locationOf(index).zone, region: REGION, contacts };
 }
 
--- a/src/lab/simulation/observed-request.ts
+++ b/src/lab/simulation/observed-request.ts
@@ -14,7 +14,7 @@
   readonly texts: string[] = [];
   readonly ends: ObservedEnd[] = [];
   /** Violations of the stream's protocol, such as gaps or texts after the end. */
-  readonly faults: string[] = [];
+  readonly protocolViolations: string[] = [];
   handle: CallerHandle | undefined;
   lastTextMs: number;
   longestPauseMs = 0;
@@ -34,8 +34,8 @@
 
   onTexts(sequence: number, texts: readonly string[]): void {
     if (sequence !== this.texts.length)
-      this.faults.push(`text ${sequence} after ${this.texts.length}`);
-    if (this.isEnded) this.faults.push('text after the end');
+      this.protocolViolations.push(`text ${sequence} after ${this.texts.length}`);
+    if (this.isEnded) this.protocolViolations.push('text after the end');
     this.texts.push(...texts);
     const nowMs = this.now();
     this.longestPauseMs = Math.max(this.longestPauseMs, nowMs - this.lastTextMs);
@@ -55,7 +55,7 @@
     this.end({ kind: 'failed', failed });
   }
 
-  hangUp(): void {
+  disconnect(): void {
     if (this.isEnded) return;
     this.end({ kind: 'hung-up' });
     this.handle?.cancel();
--- a/src/lab/simulation/oracle.ts
+++ b/src/lab/simulation/oracle.ts
@@ -2,7 +2,7 @@
 import { SECOND_IDENTIFIER_SUFFIX } from '../../protocol/plain-backend/port.js';
 import { expectedText } from '../engine/token-model.js';
 import type { ObservedRequest } from './observed-request.js';
-import { type World, requestIdOf } from './world.js';
+import { type DeploymentSimulation, requestIdOf } from './deployment-simulation.js';
 
 /** Time after which a leaving engine on the machine list must not receive new work. */
 const LEAVING_GRACE_MS = 4_000;
@@ -15,7 +15,7 @@
 }
 
 /** Returns all violations; to be called when all requests should have ended. */
-export function findViolations(simulation: World): Violation[] {
+export function findViolations(simulation: DeploymentSimulation): Violation[] {
   return [
     ...checkCacheReuse(simulation),
     ...simulation.requests.flatMap((observed) => checkRequest(simulation, observed)),
@@ -26,16 +26,16 @@
 }
 
 /** 1: no reuse of blocks that another tenant or other weights created. */
-function checkCacheReuse(simulation: World): Violation[] {
+function checkCacheReuse(simulation: DeploymentSimulation): Violation[] {
   return simulation.reuseViolations.map(({ usedBy, createdBy, reason }) => ({
     invariant: 1,
     detail: `${usedBy} used a block of ${createdBy}: ${reason}`,
   }));
 }
 
-function checkRequest(simulation: World, observed: ObservedRequest): Violation[] {
+function checkRequest(simulation: DeploymentSimulation, observed: ObservedRequest): Violation[] {
   const { requestId } = observed.request;
-  const violations: Violation[] = observed.faults.map((fault) => ({
+  const violations: Violation[] = observed.protocolViolations.map((fault) => ({
     invariant: 2,
     detail: `${requestId}: ${fault}`,
   }));
@@ -51,7 +51,7 @@
 }
 
 /** 2: the received text equals the text that the model generates without interruption. */
-function checkText(simulation: World, observed: ObservedRequest): Violation[] {
+function checkText(simulation: DeploymentSimulation, observed: ObservedRequest): Violation[] {
   const { request } = observed;
   if (request.kind !== 'generation') return [];
   const prompt = new TextDecoder().decode(request.prompt);
@@ -73,7 +73,7 @@
 }
 
 /** 5: a request that was rejected as not run did not run, also not later. */
-function checkNotRun(simulation: World, observed: ObservedRequest): Violation[] {
+function checkNotRun(simulation: DeploymentSimulation, observed: ObservedRequest): Violation[] {
   const { requestId, kind } = observed.request;
   const ran =
     kind === 'generation'
@@ -86,7 +86,7 @@
  * Whether a rejected operation ran without being allowed to. It may run after the rejection only if
  * another request with the same idempotency key ended later.
  */
-function ranAfterRejection(simulation: World, observed: ObservedRequest): boolean {
+function ranAfterRejection(simulation: DeploymentSimulation, observed: ObservedRequest): boolean {
   const { requestId } = observed.request;
   const firstRunMs = simulation.backendStore.firstRunMs(requestId);
   if (firstRunMs === undefined) return false;
@@ -98,7 +98,7 @@
 }
 
 /** 6: a non-repeatable operation ran at most once. */
-function checkSingleExecution(simulation: World): Violation[] {
+function checkSingleExecution(simulation: DeploymentSimulation): Violation[] {
   const violations: Violation[] = [];
   const nonRepeatableIds = new Set<string>();
   for (const { request } of simulation.requests) {
@@ -113,7 +113,7 @@
 }
 
 /** 7: a leaving engine receives no new work after the grace period. */
-function checkLeaving(simulation: World): Violation[] {
+function checkLeaving(simulation: DeploymentSimulation): Violation[] {
   return simulation.acceptances
     .filter(({ engineId, atMs, undisturbedSinceMs }) => {
       const sinceMs = simulation.leavingSinceMs.get(engineId);
@@ -128,7 +128,7 @@
 }
 
 /** 9: every running node has the accepted configuration and never returned to an older one. */
-function checkConvergence(simulation: World): Violation[] {
+function checkConvergence(simulation: DeploymentSimulation): Violation[] {
   const acceptedRevision = BigInt(simulation.configurationVersion);
   const regressions = simulation.regressions.map((detail) => ({ invariant: 9, detail }));
   const outdated = [...simulation.routers, ...simulation.agents]
--- a/src/lab/simulation/simulated-cluster.ts
+++ b/src/lab/simulation/simulated-cluster.ts
@@ -33,13 +33,13 @@
   SimulatedFrameTransport,
   SimulatedSockets,
 } from './simulated-transports.js';
-import { SIMULATED_PORT, FakeFleet } from './stand-in-fleet.js';
+import { SIMULATED_PORT, FakeFleet } from './fake-fleet.js';
 
 const SEED_RANGE = 0x7fffffff;
 const CLUSTER_KEY = 'simulated-cluster-key';
 
 /** A router or agent and its simulated host. */
-export interface Hosted<T> {
+export interface HostedProcess<T> {
   readonly name: string;
   readonly host: HostClock;
   readonly node: T;
@@ -80,7 +80,7 @@
     this.fleet = new FakeFleet(clock, random, hasher, tokenModel, machineListLagMs);
   }
 
-  startRouter(settings: SimulatedNodeSettings): Hosted<RouterNode> {
+  startRouter(settings: SimulatedNodeSettings): HostedProcess<RouterNode> {
     const { name, zone, region, contacts } = settings;
     const { host, container } = this.createHost(name);
     this.registerPorts(container, name, host);
@@ -101,7 +101,7 @@
     return { name, host, node, stopping: false };
   }
 
-  startAgent(settings: SimulatedNodeSettings): Hosted<AgentNode> {
+  startAgent(settings: SimulatedNodeSettings): HostedProcess<AgentNode> {
     const { name, zone, contacts } = settings;
     const { host, container } = this.createHost(name);
     const DEADLINE_MS = 10_000;
@@ -116,14 +116,14 @@
   }
 
   /** Terminates the process at once and resets its connections. */
-  crash(hosted: Hosted<unknown>): void {
+  crash(hosted: HostedProcess<unknown>): void {
     hosted.host.stop();
     this.sockets.resetConnections(hosted.name);
-    this.sockets.forget(hosted.name);
+    this.sockets.removeListeners(hosted.name);
   }
 
   /** Stops the process gracefully, then its host. */
-  async stopGracefully(hosted: Hosted<{ stop(): Promise<void> }>): Promise<void> {
+  async stopGracefully(hosted: HostedProcess<{ stop(): Promise<void> }>): Promise<void> {
     if (hosted.stopping || !hosted.host.isRunning) return;
     hosted.stopping = true;
     await hosted.node.stop();
--- a/src/lab/simulation/simulated-network.ts
+++ b/src/lab/simulation/simulated-network.ts
@@ -64,14 +64,14 @@
   }
 
   /** Restores the links that were cut at one host. */
-  join(name: string): void {
+  reconnect(name: string): void {
     for (const pair of this.cuts) {
       if (pair.split('|').includes(name)) this.cuts.delete(pair);
     }
   }
 
   /** Partitions the network: cuts all links for which the predicate returns true. */
-  cutAll(partition: (left: string, right: string) => boolean): void {
+  setPartition(partition: (left: string, right: string) => boolean): void {
     this.partition = partition;
   }
 
--- a/src/lab/simulation/simulated-transports.ts
+++ b/src/lab/simulation/simulated-transports.ts
@@ -34,7 +34,7 @@
   }
 
   /** Removes the listeners of a crashed host. */
-  forget(hostName: string): void {
+  removeListeners(hostName: string): void {
     for (const table of [this.listeners, this.datagramReceivers]) {
       for (const address of [...table.keys()]) {
         if (hostNameOf(address) === hostName) table.delete(address);
--- a/src/lab/simulation/world-settings.ts
+++ b/src/lab/simulation/simulation-settings.ts
@@ -9,11 +9,11 @@
   { zone: 'zone-c', site: 'new' },
 ] as const;
 
-export const WORLD_ROUTERS = 3;
-export const WORLD_AGENTS = 2;
-export const WORLD_ENGINES = 4;
-export const WORLD_BACKENDS = 2;
-export const WORLD_TENANTS = ['tenant-a', 'tenant-b'] as const;
+export const SIMULATION_ROUTERS = 3;
+export const SIMULATION_AGENTS = 2;
+export const SIMULATION_ENGINES = 4;
+export const SIMULATION_BACKENDS = 2;
+export const SIMULATION_TENANTS = ['tenant-a', 'tenant-b'] as const;
 export const SIMULATION_MODEL = 'model';
 export const SIMULATION_SERVICE = 'booking';
 
@@ -21,10 +21,10 @@
 export const SIMULATION_WEIGHTS = { v1: 'weights-one', v2: 'weights-two' } as const;
 
 /** A version name of the model. */
-export type WorldVersion = keyof typeof SIMULATION_WEIGHTS;
+export type SimulationVersion = keyof typeof SIMULATION_WEIGHTS;
 
 /** Returns a configuration with the given model version and request priority. */
-export function worldTemplates(version: WorldVersion, priority: number): TemplateSet {
+export function simulationTemplates(version: SimulationVersion, priority: number): TemplateSet {
   return {
     models: {
       [SIMULATION_MODEL]: {
@@ -55,7 +55,7 @@
       },
     },
     tenants: Object.fromEntries(
-      WORLD_TENANTS.map((tenant) => [
+      SIMULATION_TENANTS.map((tenant) => [
         tenant,
         { template: 'standard', keys: [{ sha256: hashKey(`key-${tenant}`) }], parameters: {} },
       ]),
--- a/src/programs/simulated-programs.ts
+++ b/src/programs/simulated-programs.ts
@@ -2,7 +2,7 @@
 import { BackendCore, BackendStore } from '../lab/backend/backend-core.js';
 import { startBackendFace } from '../lab/backend/http-face.js';
 import { EngineCore } from '../lab/engine/engine-core.js';
-import { startEngineFace } from '../lab/engine/http-face.js';
+import { startEngineServer } from '../lab/engine/engine-server.js';
 import { DEFAULT_ENGINE_SETTINGS, type EngineModelSettings } from '../lab/engine/settings.js';
 import { createTokenModel } from '../lab/engine/token-model.js';
 import type { StandInServer } from '../lab/http-server.js';
@@ -61,7 +61,7 @@
   const hasher = await createHasher();
   const model = await createTokenModel();
   const core = new EngineCore(settings, clock, new SystemRandom(), hasher, model, Date.now());
-  return { core, server: await startEngineFace(core, clock, address) };
+  return { core, server: await startEngineServer(core, clock, address) };
 }
 
 /** Starts a simulated back end. Back ends of a service in one process can share a store. */
--- a/test/gateway/directory-bound.test.ts
+++ b/test/gateway/directory-bound.test.ts
@@ -67,7 +67,7 @@
 test('a partitioned router soon returns only itself', async (t) => {
   const harness = await GroupHarness.create(8, 23);
   await harness.clock.advance(SETTLING_MS);
-  harness.network.cutAll((left, right) => left === 'router-0' || right === 'router-0');
+  harness.network.setPartition((left, right) => left === 'router-0' || right === 'router-0');
   await harness.clock.advance(BOUND_MS);
   const router = harness.routers[0];
   t.deepEqual(router?.directory.resolve(router.group.own, true), ['router-0:80']);
--- a/test/helpers/group-harness.ts
+++ b/test/helpers/group-harness.ts
@@ -58,7 +58,7 @@
   powerOff(index: number): void {
     const router = this.routers[index] as GroupRouter;
     router.host.stop();
-    this.sockets.forget(router.name);
+    this.sockets.removeListeners(router.name);
     this.poweredOffAtMs.set(addressOf(router.name), this.clock.now());
   }
 
--- a/test/helpers/quota-harness.ts
+++ b/test/helpers/quota-harness.ts
@@ -125,7 +125,7 @@
   /** Partitions each of these routers from all others; they continue to serve. */
   partitionRouters(indices: readonly number[]): void {
     const names = new Set(indices.map((index) => (this.group.routers[index] as GroupRouter).name));
-    this.group.network.cutAll((left, right) => names.has(left) || names.has(right));
+    this.group.network.setPartition((left, right) => names.has(left) || names.has(right));
   }
 
   heal(): void {
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -8,7 +8,7 @@
 import test, { type ExecutionContext } from 'ava';
 import { stringify } from 'yaml';
 import { createTokenModel, expectedText } from '../src/lab/engine/token-model.js';
-import { worldTemplates } from '../src/lab/simulation/world-settings.js';
+import { simulationTemplates } from '../src/lab/simulation/simulation-settings.js';
 import { Program, waitUntilOk } from './helpers/processes.js';
 
 const ANY_PORT = '127.0.0.1:0';
@@ -60,7 +60,7 @@
 
 async function startDeployment(t: ExecutionContext): Promise<Deployment> {
   const folder = mkdtempSync(path.join(tmpdir(), 'peatspan-test-'));
-  const templates = worldTemplates('v1', 0);
+  const templates = simulationTemplates('v1', 0);
   const standard = templates.templates.standard;
   if (standard) standard.site_shares = { old: 1 };
   const templatesFile = path.join(folder, 'templates.yaml');
--- a/test/survival.test.ts
+++ b/test/survival.test.ts
@@ -7,25 +7,30 @@
 import { ALL_PROTECTIONS } from '../src/coordination/router/settings.js';
 import { expectedText } from '../src/lab/engine/token-model.js';
 import { findViolations } from '../src/lab/simulation/oracle.js';
-import { World } from '../src/lab/simulation/world.js';
+import { DeploymentSimulation } from '../src/lab/simulation/deployment-simulation.js';
 
 const LONG_MS = 20_000;
 
-function failuresOf(simulation: World): string[] {
+function failuresOf(simulation: DeploymentSimulation): string[] {
   return simulation.requests.flatMap((request) =>
     request.ends.flatMap((end) => (end.kind === 'failed' ? [end.failed.failure.message] : [])),
   );
 }
 
-async function streamsInProgress(simulation: World): Promise<void> {
+async function streamsInProgress(simulation: DeploymentSimulation): Promise<void> {
   for (let index = 0; index < 12; index += 1) {
-    simulation.generate(index % 2, index % 3 === 0 ? 'tenant-a' : 'tenant-b', index % 3, LONG_MS);
+    simulation.submitGeneration(
+      index % 2,
+      index % 3 === 0 ? 'tenant-a' : 'tenant-b',
+      index % 3,
+      LONG_MS,
+    );
   }
   await simulation.clock.advance(200);
 }
 
 test('streams survive the crash of each router in turn', async (t) => {
-  const simulation = await World.create(5);
+  const simulation = await DeploymentSimulation.create(5);
   for (const index of [0, 1, 2]) {
     await streamsInProgress(simulation);
     simulation.crashRouter(index);
@@ -44,7 +49,7 @@
 });
 
 test('streams survive the crash of two engines', async (t) => {
-  const simulation = await World.create(6);
+  const simulation = await DeploymentSimulation.create(6);
   await streamsInProgress(simulation);
   simulation.engines[0]?.crash();
   simulation.engines[2]?.crash();
@@ -54,7 +59,7 @@
 });
 
 test('streams survive engines that stall with open connections', async (t) => {
-  const simulation = await World.create(6);
+  const simulation = await DeploymentSimulation.create(6);
   await streamsInProgress(simulation);
   simulation.engines[0]?.setStalled(true);
   simulation.engines[2]?.setStalled(true);
@@ -66,7 +71,7 @@
 });
 
 test('a slow caller slows its stream at the engine and receives it completely', async (t) => {
-  const simulation = await World.create(12);
+  const simulation = await DeploymentSimulation.create(12);
   const agent = simulation.agents[0]?.node;
   if (!agent) throw new Error('no agent');
   const MAX_TOKENS = 1_200;
@@ -106,11 +111,11 @@
 });
 
 test('a rolling graceful stop of all routers and agents interrupts no request', async (t) => {
-  const simulation = await World.create(7);
+  const simulation = await DeploymentSimulation.create(7);
   const load = async (): Promise<void> => {
     for (let index = 0; index < 20; index += 1) {
-      simulation.generate(index % 2, 'tenant-a', index % 3, LONG_MS);
-      simulation.operate(
+      simulation.submitGeneration(index % 2, 'tenant-a', index % 3, LONG_MS);
+      simulation.submitOperation(
         index % 2,
         'tenant-b',
         index % 2 === 0 ? 'menu' : 'hold',
@@ -142,7 +147,7 @@
 });
 
 test('routers that restart during an object API outage are ready within a second', async (t) => {
-  const simulation = await World.create(8);
+  const simulation = await DeploymentSimulation.create(8);
   simulation.setPlatformDown(true);
   for (const index of [0, 1, 2]) simulation.crashRouter(index);
   await simulation.clock.advance(500);
@@ -152,20 +157,20 @@
     simulation.routers.map(({ node }) => node.isReady),
     [true, true, true],
   );
-  simulation.generate(0, 'tenant-a', 0, LONG_MS);
-  simulation.operate(1, 'tenant-a', 'hold', undefined, LONG_MS);
+  simulation.submitGeneration(0, 'tenant-a', 0, LONG_MS);
+  simulation.submitOperation(1, 'tenant-a', 'hold', undefined, LONG_MS);
   await simulation.settle();
   t.deepEqual(failuresOf(simulation), []);
 });
 
 test('with every engine down, routers make at most 1.2 attempts per request', async (t) => {
   const attemptsWith = async (retryBudget: boolean): Promise<number> => {
-    const simulation = await World.create(9, { ...ALL_PROTECTIONS, retryBudget });
+    const simulation = await DeploymentSimulation.create(9, { ...ALL_PROTECTIONS, retryBudget });
     for (const core of simulation.engines) core.crash();
     const before = simulation.routers.reduce((sum, { node }) => sum + node.statistics.attempts, 0);
     const REQUESTS = 300;
     for (let index = 0; index < REQUESTS; index += 1) {
-      simulation.generate(index % 2, 'tenant-a', index % 3, LONG_MS);
+      simulation.submitGeneration(index % 2, 'tenant-a', index % 3, LONG_MS);
       await simulation.clock.advance(10);
     }
     await simulation.clock.advance(LONG_MS);
@@ -177,14 +182,14 @@
 });
 
 test('a request whose caller disconnects ends at the engine', async (t) => {
-  const simulation = await World.create(10);
-  simulation.generate(0, 'tenant-a', 0, LONG_MS);
+  const simulation = await DeploymentSimulation.create(10);
+  simulation.submitGeneration(0, 'tenant-a', 0, LONG_MS);
   await simulation.clock.advance(100);
   t.is(
     simulation.engines.reduce((sum, core) => sum + core.activeRequests, 0),
     1,
   );
-  simulation.requests[0]?.hangUp();
+  simulation.requests[0]?.disconnect();
   await simulation.clock.advance(100);
   t.is(
     simulation.engines.reduce((sum, core) => sum + core.activeRequests, 0),
@@ -193,10 +198,10 @@
 });
 
 test('two operations with the same idempotency key run once and both get an outcome', async (t) => {
-  const simulation = await World.create(11);
-  simulation.operate(0, 'tenant-a', 'hold', 'key', LONG_MS);
+  const simulation = await DeploymentSimulation.create(11);
+  simulation.submitOperation(0, 'tenant-a', 'hold', 'key', LONG_MS);
   await simulation.clock.advance(1_000);
-  simulation.operate(1, 'tenant-a', 'hold', 'key', LONG_MS);
+  simulation.submitOperation(1, 'tenant-a', 'hold', 'key', LONG_MS);
   await simulation.settle();
   t.deepEqual(
     simulation.requests.map((request) => request.ends[0]?.kind),
--- a/test/template-store.test.ts
+++ b/test/template-store.test.ts
@@ -7,7 +7,7 @@
 import type { ObjectApiPort } from '../src/protocol/object-api/port.js';
 import { ObjectStore } from '../src/lab/platform/object-store.js';
 import { VirtualClock } from '../src/runtime/virtual-clock.js';
-import { worldTemplates } from '../src/lab/simulation/world-settings.js';
+import { simulationTemplates } from '../src/lab/simulation/simulation-settings.js';
 
 /** A port to a store; with `lose`, responses are lost before or after the write takes effect. */
 function portOf(store: ObjectStore, lose: 'none' | 'before' | 'after'): ObjectApiPort {
@@ -29,7 +29,7 @@
 test('a write that took effect without a response is confirmed by reading it back', async (t) => {
   const clock = new VirtualClock();
   const store = new TemplateStore(portOf(new ObjectStore(clock), 'after'), clock);
-  t.deepEqual(await store.write(worldTemplates('v1', 0), 0, 'operation-1'), {
+  t.deepEqual(await store.write(simulationTemplates('v1', 0), 0, 'operation-1'), {
     kind: 'written',
     version: 1,
   });
@@ -38,7 +38,7 @@
 test('a write that never reached the store is reported as uncertain', async (t) => {
   const clock = new VirtualClock();
   const store = new TemplateStore(portOf(new ObjectStore(clock), 'before'), clock);
-  const writing = store.write(worldTemplates('v1', 0), 0, 'operation-1');
+  const writing = store.write(simulationTemplates('v1', 0), 0, 'operation-1');
   for (let step = 0; step < 10; step += 1) await clock.advance(1_000);
   t.is((await writing).kind, 'uncertain');
 });
@@ -47,13 +47,13 @@
   const clock = new VirtualClock();
   const objects = new ObjectStore(clock);
   const store = new TemplateStore(portOf(objects, 'none'), clock);
-  await store.write(worldTemplates('v1', 0), 0, 'first');
-  t.is((await store.write(worldTemplates('v1', 1), 1, 'mine')).kind, 'written');
-  const outcome = await store.write(worldTemplates('v2', 0), 1, 'theirs');
+  await store.write(simulationTemplates('v1', 0), 0, 'first');
+  t.is((await store.write(simulationTemplates('v1', 1), 1, 'mine')).kind, 'written');
+  const outcome = await store.write(simulationTemplates('v2', 0), 1, 'theirs');
   t.is(outcome.kind, 'conflict');
   if (outcome.kind !== 'conflict') return;
   t.is(outcome.current.operationId, 'mine');
-  const differences = differencesBetween(worldTemplates('v1', 0), outcome.current.set);
+  const differences = differencesBetween(simulationTemplates('v1', 0), outcome.current.set);
   t.deepEqual(
     differences.map(({ entry }) => entry),
     ['templates/standard'],
@@ -61,7 +61,7 @@
 });
 
 test('a parameter is set for one tenant, and an invalid value is reported with its path', (t) => {
-  const set = worldTemplates('v1', 0);
+  const set = simulationTemplates('v1', 0);
   const verdict = setTenantParameter(set, 'tenant-a', 'priority=5');
   t.is(verdict.kind === 'valid' ? verdict.set.tenants['tenant-a']?.parameters.priority : 0, 5);
   const refused = setTenantParameter(set, 'tenant-a', 'site_shares={old: 0.5, new: 0.4}');
