--- a/src/coordination/gateway/engine-incarnation-tracker.ts
+++ b/src/coordination/gateway/engine-incarnation-tracker.ts
@@ -52,7 +52,7 @@
   /** Applies an engine's entry; entries must be passed in the store's order. */
   applyEntry(record: EngineRecord): PutOutcome {
     const outcome = this.registry.put(record);
-    if (outcome.kind === 'reborn')
+    if (outcome.kind === 'restarted')
       this.handleRestart(outcome.previous, record.startedAtMs, 'entry');
     return outcome;
   }
--- a/src/state/routing/engine-registry.ts
+++ b/src/state/routing/engine-registry.ts
@@ -29,7 +29,7 @@
   /** The incarnation was already registered, or the engine is new. */
   | { readonly kind: 'stored' }
   /** Another incarnation replaced the registered one. */
-  | { readonly kind: 'reborn'; readonly previous: EngineRecord }
+  | { readonly kind: 'restarted'; readonly previous: EngineRecord }
   /** The incarnation has ended; the record was ignored. */
   | { readonly kind: 'retired' };
 
@@ -116,7 +116,7 @@
     }
     this.storeRecord(record, true);
     this.regroup();
-    return previous ? { kind: 'reborn', previous: previous.record } : { kind: 'stored' };
+    return previous ? { kind: 'restarted', previous: previous.record } : { kind: 'stored' };
   }
 
   /**
