--- a/src/lab/backend/backend-core.ts
+++ b/src/lab/backend/backend-core.ts
@@ -1,4 +1,4 @@
-/** The stand-in plain back end: flag state, audit, booking. Records each run by request identifier. */
+/** A fake plain back end for simulations and local deployments. */
 
 import { HttpStatus } from '../../protocol/http-status.js';
 import { type Clock, sleep } from '../../runtime/clock.js';
@@ -10,7 +10,7 @@
   type LookupResult,
 } from '../../protocol/plain-backend/port.js';
 
-/** Speed and limits of a stand-in back end. */
+/** Speed and limits of a fake back end. */
 export interface BackendSettings {
   readonly backendId: string;
   readonly workMs: number;
@@ -23,14 +23,14 @@
   | { readonly kind: 'refused'; readonly reason: string }
   | { readonly kind: 'lost' };
 
-/** State of requests shared by all machines of one service, as a database behind them would be. */
+/** Request state that all machines of one service share, like a common database. */
 export class BackendStore {
   private readonly fenced = new Set<string>();
-  private readonly answers = new Map<string, BackendAnswer>();
-  /** Start of each run by identifier at the back end, in milliseconds. */
+  private readonly responses = new Map<string, BackendAnswer>();
+  /** Start times of the runs, by identifier at the back end. */
   private readonly runs = new Map<string, number[]>();
 
-  /** Notes the start of a run; false where the identifier is fenced. */
+  /** Records the start of a run. Returns false if the identifier is fenced. */
   begin(requestId: string, nowMs: number): boolean {
     if (this.fenced.has(requestId)) return false;
     const starts = this.runs.get(requestId) ?? [];
@@ -38,43 +38,43 @@
     return true;
   }
 
-  /** Runs of a caller's request under any of its identifiers. */
+  /** Number of runs of a caller's request, under any of its identifiers. */
   runsOf(requestId: string): number {
-    return this.startsOf(requestId).length;
+    return this.runStarts(requestId).length;
   }
 
-  /** When a caller's request first ran; undefined where it never did. */
+  /** Start time of the first run of a caller's request; undefined if it never ran. */
   firstRunMs(requestId: string): number | undefined {
-    const starts = this.startsOf(requestId);
+    const starts = this.runStarts(requestId);
     return starts.length === 0 ? undefined : Math.min(...starts);
   }
 
-  private startsOf(requestId: string): number[] {
-    const second = requestId + SECOND_IDENTIFIER_SUFFIX;
-    return [...(this.runs.get(requestId) ?? []), ...(this.runs.get(second) ?? [])];
+  private runStarts(requestId: string): number[] {
+    const secondIdentifier = requestId + SECOND_IDENTIFIER_SUFFIX;
+    return [...(this.runs.get(requestId) ?? []), ...(this.runs.get(secondIdentifier) ?? [])];
   }
 
   finish(requestId: string, answer: BackendAnswer): void {
-    this.answers.set(requestId, answer);
+    this.responses.set(requestId, answer);
   }
 
-  /** What is known of a request; one never seen is fenced from now on. */
+  /** Returns the state of a request. An unknown request is fenced, so that it can't run later. */
   lookup(requestId: string): LookupResult {
-    const answer = this.answers.get(requestId);
+    const answer = this.responses.get(requestId);
     if (answer) return { kind: 'answered', answer };
     if (this.runs.has(requestId)) return { kind: 'running' };
-    const first = !this.fenced.has(requestId);
+    const isFirstLookup = !this.fenced.has(requestId);
     this.fenced.add(requestId);
-    return { kind: 'fenced', first };
+    return { kind: 'fenced', first: isFirstLookup };
   }
 }
 
-/** One back end machine. */
+/** One back-end machine. */
 export class BackendCore {
   leaving = false;
   private alive = true;
   private running = 0;
-  private life = 0;
+  private incarnation = 0;
 
   constructor(
     readonly settings: BackendSettings,
@@ -86,7 +86,6 @@
     return this.alive;
   }
 
-  /** Requests running. */
   get activeRequests(): number {
     return this.running;
   }
@@ -99,12 +98,12 @@
     }
     if (!this.store.begin(invocation.requestId, this.clock.now()))
       return { kind: 'refused', reason: FENCED_REASON };
-    const life = this.life;
+    const incarnation = this.incarnation;
     this.running += 1;
     await sleep(this.clock, this.settings.workMs);
-    if (life !== this.life) return { kind: 'lost' };
+    if (incarnation !== this.incarnation) return { kind: 'lost' };
     this.running -= 1;
-    const answer = { status: HttpStatus.Ok, body: answerOf(invocation) };
+    const answer = { status: HttpStatus.Ok, body: encodeResponse(invocation) };
     this.store.finish(invocation.requestId, answer);
     return { kind: 'answered', answer };
   }
@@ -113,11 +112,11 @@
     return this.alive ? this.store.lookup(requestId) : { kind: 'unavailable' };
   }
 
-  /** Loses what runs; a run that began may or may not have taken effect. */
+  /** Ends the process. Callers of runs in progress get no response. */
   crash(): void {
     this.alive = false;
     this.running = 0;
-    this.life += 1;
+    this.incarnation += 1;
   }
 
   restart(): void {
@@ -125,7 +124,7 @@
   }
 }
 
-function answerOf(invocation: BackendInvocation): Uint8Array {
+function encodeResponse(invocation: BackendInvocation): Uint8Array {
   const { service, operation, tenant, requestId } = invocation;
   const text = JSON.stringify({ service, operation, tenant, request_id: requestId, done: true });
   return new TextEncoder().encode(text);
--- a/src/lab/backend/http-face.ts
+++ b/src/lab/backend/http-face.ts
@@ -1,4 +1,4 @@
-/** The stand-in plain back end over HTTP (docs/INTERFACES.md, "Plain back end"). */
+/** HTTP server of the fake plain back end (docs/INTERFACES.md, "Plain back end"). */
 import { HttpStatus } from '../../protocol/http-status.js';
 import { z } from 'zod';
 import {
@@ -17,7 +17,7 @@
   arguments: z.unknown(),
 });
 
-/** Starts the HTTP face of a back end. */
+/** Starts the HTTP server of a fake back end. */
 export function startBackendFace(core: BackendCore, address: string): Promise<StandInServer> {
   const server = createStandInServer(address);
   server.route({
--- a/src/lab/experiment/baseline-policies.ts
+++ b/src/lab/experiment/baseline-policies.ts
@@ -1,11 +1,11 @@
-/** The policies that peatspan is compared with, and the bound of perfect knowledge. */
+/** Baseline policies for comparison with peatspan, and an upper bound with perfect knowledge. */
 import type { Hasher } from '../../runtime/hasher.js';
 import { type RandomSource, randomElement } from '../../runtime/random.js';
 import type { EngineLoadReport } from '../../protocol/engine/port.js';
 import { BLOCK_TOKENS, tokensOfBytes } from '../../state/prefix-chain.js';
 import { pickByRendezvous } from '../../state/rendezvous.js';
 import type { EngineCore } from '../engine/engine-core.js';
-import type { PlacedRequest } from './placed-request.js';
+import type { HashedRequest } from './placed-request.js';
 import type { Policy } from './policy.js';
 
 const MS_PER_SECOND = 1_000;
@@ -13,7 +13,7 @@
 abstract class Baseline implements Policy {
   abstract readonly name: string;
   abstract choose(
-    request: PlacedRequest,
+    request: HashedRequest,
     engines: readonly EngineCore[],
     nowMs: number,
   ): EngineCore;
@@ -21,7 +21,7 @@
   refresh(): void {}
 }
 
-/** Any engine. */
+/** Picks a random engine. */
 export class RandomPolicy extends Baseline {
   readonly name = 'random';
 
@@ -29,12 +29,12 @@
     super();
   }
 
-  choose(_request: PlacedRequest, engines: readonly EngineCore[]): EngineCore {
+  choose(_request: HashedRequest, engines: readonly EngineCore[]): EngineCore {
     return randomElement(this.random, engines) as EngineCore;
   }
 }
 
-/** The engine whose last report shows the fewest requests; ties at random. */
+/** Picks the engine whose last report has the fewest requests; breaks ties at random. */
 export class LeastLoadedPolicy extends Baseline {
   readonly name = 'least loaded';
 
@@ -42,7 +42,7 @@
     super();
   }
 
-  choose(_request: PlacedRequest, engines: readonly EngineCore[]): EngineCore {
+  choose(_request: HashedRequest, engines: readonly EngineCore[]): EngineCore {
     const loads = engines.map((core) => core.status().load.requests);
     const least = Math.min(...loads);
     const tied = engines.filter((_, index) => loads[index] === least);
@@ -50,7 +50,7 @@
   }
 }
 
-/** Consistent hashing on the first mark of the prompt. */
+/** Picks an engine by rendezvous hashing of the first mark of the prompt. */
 export class PrefixHashPolicy extends Baseline {
   readonly name = 'prefix hashing';
 
@@ -58,14 +58,14 @@
     super();
   }
 
-  choose(request: PlacedRequest, engines: readonly EngineCore[]): EngineCore {
+  choose(request: HashedRequest, engines: readonly EngineCore[]): EngineCore {
     const ids = engines.map((core) => core.settings.engineId);
     const chosen = pickByRendezvous(this.hasher, request.marks[0] ?? 0n, ids);
     return engines[ids.indexOf(chosen ?? '')] as EngineCore;
   }
 }
 
-/** Knows each cache and queue at the moment; a bound, since no node can. */
+/** Reads the current cache and queue of every engine, which no router can; an upper bound. */
 export class PerfectKnowledgePolicy extends Baseline {
   readonly name = 'perfect knowledge';
 
@@ -73,7 +73,7 @@
     super();
   }
 
-  choose(request: PlacedRequest, engines: readonly EngineCore[]): EngineCore {
+  choose(request: HashedRequest, engines: readonly EngineCore[]): EngineCore {
     let best = engines[0] as EngineCore;
     let bestCost = Number.POSITIVE_INFINITY;
     for (const core of engines) {
@@ -86,21 +86,21 @@
     return best;
   }
 
-  private cost(request: PlacedRequest, core: EngineCore): number {
-    const kept = core.countKept(request.blocks) * BLOCK_TOKENS;
-    const tokens = tokensOfBytes(request.prompt.length) - kept;
+  private cost(request: HashedRequest, core: EngineCore): number {
+    const cachedTokens = core.countKept(request.blocks) * BLOCK_TOKENS;
+    const tokens = tokensOfBytes(request.prompt.length) - cachedTokens;
     const load = core.presentLoad();
-    const RECOMPUTE_EMPHASIS = 3;
-    const emphasis = 1 + RECOMPUTE_EMPHASIS * this.recomputeWeight;
-    return waitMsOf(load) + (tokens / load.prefillTokensPerSecond) * MS_PER_SECOND * emphasis;
+    const RECOMPUTE_FACTOR = 3;
+    const factor = 1 + RECOMPUTE_FACTOR * this.recomputeWeight;
+    return estimateQueueMs(load) + (tokens / load.prefillTokensPerSecond) * MS_PER_SECOND * factor;
   }
 }
 
-function waitMsOf(load: EngineLoadReport): number {
-  const QUEUED_REQUEST_MS = 60;
-  const overflow = Math.max(0, load.requests - load.maximumRequests);
+function estimateQueueMs(load: EngineLoadReport): number {
+  const WAIT_PER_QUEUED_REQUEST_MS = 60;
+  const queuedRequests = Math.max(0, load.requests - load.maximumRequests);
   return (
     (load.waitingTokens / load.prefillTokensPerSecond) * MS_PER_SECOND +
-    overflow * QUEUED_REQUEST_MS
+    queuedRequests * WAIT_PER_QUEUED_REQUEST_MS
   );
 }
--- a/src/lab/experiment/experiment-run.ts
+++ b/src/lab/experiment/experiment-run.ts
@@ -1,4 +1,4 @@
-/** Runs one policy over the arrivals of a workload, on a virtual clock. */
+/** Runs one policy on the arrivals of a workload, on a virtual clock. */
 import { type Hasher, createHasher } from '../../runtime/hasher.js';
 import { type RandomSource, SeededRandom } from '../../runtime/random.js';
 import { repeat } from '../../runtime/clock.js';
@@ -17,31 +17,31 @@
   RandomPolicy,
 } from './baseline-policies.js';
 import { PeatspanPolicy } from './peatspan-policy.js';
-import { type PlacedRequest, placeRequest } from './placed-request.js';
+import { type HashedRequest, hashRequest } from './placed-request.js';
 import type { Policy } from './policy.js';
 
-/** Events and loads come to the routers this often. */
-const REFRESH_MS = 300;
-/** From the caller's agent over a router to the engine, one way. */
-const WAY_MS = 3;
+/** Interval at which the policy reads events and status of the engines. */
+const REFRESH_INTERVAL_MS = 300;
+/** Latency from the caller's agent through a router to the engine. */
+const ONE_WAY_LATENCY_MS = 3;
 const MS_PER_SECOND = 1_000;
-/** Time for the last requests to end. */
-const TAIL_MS = 30_000;
+/** Time for the last requests to finish. */
+const DRAIN_MS = 30_000;
 
-/** A workload on a set of engines. */
+/** A workload and the engines that serve it. */
 export interface Experiment {
   readonly engines: readonly EngineModelSettings[];
   readonly profiles: readonly CallerProfile[];
   readonly requestsPerSecond: number;
   readonly seconds: number;
-  /** Hot branches move on this often; 0 for never. */
+  /** Interval at which the hot branches change; 0 for never. */
   readonly shiftSeconds: number;
-  /** Requests of the first seconds warm the caches and are not counted. */
+  /** Requests that arrive earlier only warm the caches and are not measured. */
   readonly warmUpSeconds: number;
   readonly recomputeWeight: number;
 }
 
-/** Names of all policies, in the order they are shown. */
+/** Names of all policies, in display order. */
 export const POLICY_NAMES = [
   'random',
   'least loaded',
@@ -52,12 +52,12 @@
 
 export type PolicyName = (typeof POLICY_NAMES)[number];
 
-/** Figures of one policy. */
+/** Measurements of one policy. */
 export interface PolicyFigures extends MeasurementSummary {
   readonly policy: PolicyName;
 }
 
-/** Runs one policy; the same seed gives the same arrivals whatever the policy. */
+/** Runs one policy. The same seed gives the same arrivals for every policy. */
 export async function runPolicy(
   experiment: Experiment,
   name: PolicyName,
@@ -69,18 +69,18 @@
 
 class PolicyRun {
   private readonly clock = new VirtualClock();
-  private readonly arrivals: RandomSource;
+  private readonly arrivalRandom: RandomSource;
   private readonly workload: Workload;
   private readonly measurements = new Measurements();
   private readonly engines: EngineCore[] = [];
-  private requests = 0;
+  private sentRequests = 0;
 
   private constructor(
     private readonly experiment: Experiment,
     private readonly hasher: Hasher,
     seed: number,
   ) {
-    this.arrivals = new SeededRandom(seed);
+    this.arrivalRandom = new SeededRandom(seed);
     this.workload = new Workload(experiment.profiles, new SeededRandom(seed + 1));
   }
 
@@ -97,7 +97,7 @@
   }
 
   async finish(): Promise<MeasurementSummary> {
-    await this.clock.advance(this.experiment.seconds * MS_PER_SECOND + TAIL_MS);
+    await this.clock.advance(this.experiment.seconds * MS_PER_SECOND + DRAIN_MS);
     return this.measurements.summary();
   }
 
@@ -119,7 +119,7 @@
 
   private start(policy: Policy): void {
     policy.refresh(0);
-    repeat(this.clock, REFRESH_MS, () => policy.refresh(this.clock.now()));
+    repeat(this.clock, REFRESH_INTERVAL_MS, () => policy.refresh(this.clock.now()));
     const { shiftSeconds } = this.experiment;
     if (shiftSeconds > 0) {
       repeat(this.clock, shiftSeconds * MS_PER_SECOND, () => this.workload.shiftBranches());
@@ -127,32 +127,33 @@
     this.scheduleArrival(policy);
   }
 
-  /** Arrivals follow a Poisson process. */
+  /** Schedules the next arrival of a Poisson process. */
   private scheduleArrival(policy: Policy): void {
     const gapMs =
-      (-Math.log(1 - this.arrivals.next()) / this.experiment.requestsPerSecond) * MS_PER_SECOND;
+      (-Math.log(1 - this.arrivalRandom.next()) / this.experiment.requestsPerSecond) *
+      MS_PER_SECOND;
     this.clock.setTimer(gapMs, () => {
       if (this.clock.now() > this.experiment.seconds * MS_PER_SECOND) return;
-      this.arrive(policy);
+      this.handleArrival(policy);
       this.scheduleArrival(policy);
     });
   }
 
-  private arrive(policy: Policy): void {
+  private handleArrival(policy: Policy): void {
     const sample = this.workload.next();
     const { model } = sample.profile;
-    const serving = this.engines.filter((core) => core.settings.model === model);
-    const weightsDigest = serving[0]?.settings.weightsDigest ?? '';
-    const request = placeRequest(this.hasher, sample, weightsDigest, this.clock.now());
-    const engine = policy.choose(request, serving, this.clock.now());
-    this.clock.setTimer(WAY_MS, () => this.send(policy, request, engine));
+    const candidates = this.engines.filter((core) => core.settings.model === model);
+    const weightsDigest = candidates[0]?.settings.weightsDigest ?? '';
+    const request = hashRequest(this.hasher, sample, weightsDigest, this.clock.now());
+    const engine = policy.choose(request, candidates, this.clock.now());
+    this.clock.setTimer(ONE_WAY_LATENCY_MS, () => this.send(policy, request, engine));
   }
 
-  private send(policy: Policy, request: PlacedRequest, engine: EngineCore): void {
-    this.requests += 1;
+  private send(policy: Policy, request: HashedRequest, engine: EngineCore): void {
+    this.sentRequests += 1;
     const { profile } = request.sample;
     const result = engine.accept({
-      engineRequestId: `request-${this.requests}`,
+      engineRequestId: `request-${this.sentRequests}`,
       model: profile.model,
       weightsDigest: request.weightsDigest,
       adapterDigest: '',
@@ -163,12 +164,12 @@
       priority: 0,
     });
     if (result.kind === 'refused') this.record(request, result.reason, undefined);
-    else this.watch(policy, request, engine, result.sequence);
+    else this.observeStart(policy, request, engine, result.sequence);
   }
 
-  private watch(
+  private observeStart(
     policy: Policy,
-    request: PlacedRequest,
+    request: HashedRequest,
     engine: EngineCore,
     sequence: EngineSequence,
   ): void {
@@ -176,7 +177,7 @@
       onProgress: () => {
         if (!sequence.started) return;
         sequence.readers.delete(reader);
-        this.clock.setTimer(WAY_MS, () => {
+        this.clock.setTimer(ONE_WAY_LATENCY_MS, () => {
           policy.onStart(request, engine, sequence.cachedTokens, this.clock.now());
           this.record(request, '', sequence);
         });
@@ -187,7 +188,7 @@
   }
 
   private record(
-    request: PlacedRequest,
+    request: HashedRequest,
     error: string,
     sequence: EngineSequence | undefined,
   ): void {
@@ -197,7 +198,7 @@
       firstTokenMs: this.clock.now() - request.arrivalMs,
       promptTokens: sequence?.promptTokens ?? 0,
       cachedTokens: sequence?.cachedTokens ?? 0,
-      knownTokens: Math.floor(request.sample.knownCharacters / BYTES_PER_TOKEN),
+      repeatedTokens: Math.floor(request.sample.knownCharacters / BYTES_PER_TOKEN),
     });
   }
 }
--- a/src/lab/experiment/peatspan-policy.ts
+++ b/src/lab/experiment/peatspan-policy.ts
@@ -1,4 +1,4 @@
-/** The product's own decision code: feeds, directory and choice, shared among a few homes. */
+/** Applies the event feeds, prefix directory and engine choice of peatspan itself. */
 import type { Hasher } from '../../runtime/hasher.js';
 import type { RandomSource } from '../../runtime/random.js';
 import { chooseEngine } from '../../state/engine-choice.js';
@@ -8,32 +8,33 @@
 import { PrefixDirectory } from '../../state/prefix-directory.js';
 import { pickByRendezvous } from '../../state/rendezvous.js';
 import type { EngineCore } from '../engine/engine-core.js';
-import type { PlacedRequest } from './placed-request.js';
+import type { HashedRequest } from './placed-request.js';
 import type { Policy } from './policy.js';
 
-/** Routers among which the prefixes are divided. */
+/** Routers among which the prefixes are divided by rendezvous hashing. */
 const HOMES = ['home-0', 'home-1', 'home-2'];
-/** Loads reach the homes this often; events with each refresh. */
-const LOAD_PERIOD_MS = 3_000;
+/** Interval of load reports. Events arrive with each refresh. */
+const LOAD_REPORT_INTERVAL_MS = 3_000;
 
-/** What one home knows. */
+/** State of one home router. */
 interface Home {
   readonly table: EngineTable;
   readonly directory: PrefixDirectory;
 }
 
-interface FollowedFeed {
+/** Position in the event feed of one engine. */
+interface FeedState {
   feed: EventFeed;
   incarnation: number;
   nextSequence: number;
 }
 
-/** peatspan, with events and loads as late as its routers get them. */
+/** The peatspan policy. Events and loads arrive with the same delay as at real routers. */
 export class PeatspanPolicy implements Policy {
   readonly name = 'peatspan';
   private readonly homes = new Map<string, Home>();
-  private readonly feeds = new Map<EngineCore, FollowedFeed>();
-  private loadsAtMs = Number.NEGATIVE_INFINITY;
+  private readonly feeds = new Map<EngineCore, FeedState>();
+  private lastLoadReportMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     engines: readonly EngineCore[],
@@ -47,7 +48,7 @@
     }
   }
 
-  choose(request: PlacedRequest, engines: readonly EngineCore[], nowMs: number): EngineCore {
+  choose(request: HashedRequest, engines: readonly EngineCore[], nowMs: number): EngineCore {
     const { table, directory } = this.homeOf(request.marks[0] ?? 0n);
     const promptTokens = tokensOfBytes(request.prompt.length);
     const choice = chooseEngine(
@@ -78,7 +79,7 @@
       engines[0]) as EngineCore;
   }
 
-  onStart(request: PlacedRequest, engine: EngineCore, cachedTokens: number, nowMs: number): void {
+  onStart(request: HashedRequest, engine: EngineCore, cachedTokens: number, nowMs: number): void {
     const { table, directory } = this.homeOf(request.marks[0] ?? 0n);
     const { engineId } = engine.settings;
     table.get(engineId)?.setLoad(engine.status().load);
@@ -87,10 +88,10 @@
   }
 
   refresh(nowMs: number): void {
-    const withLoads = nowMs - this.loadsAtMs >= LOAD_PERIOD_MS;
-    if (withLoads) this.loadsAtMs = nowMs;
-    for (const [core, followed] of this.feeds) {
-      this.follow(core, followed, nowMs);
+    const withLoads = nowMs - this.lastLoadReportMs >= LOAD_REPORT_INTERVAL_MS;
+    if (withLoads) this.lastLoadReportMs = nowMs;
+    for (const [core, feedState] of this.feeds) {
+      this.pollFeed(core, feedState, nowMs);
       if (withLoads) this.reportLoad(core, nowMs);
     }
   }
@@ -103,31 +104,35 @@
     }
   }
 
-  private follow(core: EngineCore, followed: FollowedFeed, nowMs: number): void {
-    const batch = core.events(followed.nextSequence);
-    const isGap = batch.events.length > 0 && batch.firstSequence !== followed.nextSequence;
-    if (batch.incarnation !== followed.incarnation) {
-      Object.assign(followed, {
+  private pollFeed(core: EngineCore, feedState: FeedState, nowMs: number): void {
+    const batch = core.events(feedState.nextSequence);
+    const isGap = batch.events.length > 0 && batch.firstSequence !== feedState.nextSequence;
+    if (batch.incarnation !== feedState.incarnation) {
+      Object.assign(feedState, {
         feed: new EventFeed(),
         incarnation: batch.incarnation,
         nextSequence: 1,
       });
     } else if (isGap) {
-      this.resynchronize(core, followed, nowMs);
+      this.resynchronize(core, feedState, nowMs);
     } else {
-      followed.nextSequence += batch.events.length;
-      for (const event of batch.events) this.tell(core, followed.feed.apply(event), nowMs);
+      feedState.nextSequence += batch.events.length;
+      for (const event of batch.events) this.applyChange(core, feedState.feed.apply(event), nowMs);
     }
   }
 
-  private resynchronize(core: EngineCore, followed: FollowedFeed, nowMs: number): void {
+  private resynchronize(core: EngineCore, feedState: FeedState, nowMs: number): void {
     const snapshot = core.snapshot();
-    const changes = followed.feed.replaceBy(snapshot.blocks);
-    for (const change of changes) this.tell(core, change, nowMs);
-    followed.nextSequence = snapshot.nextSequence;
+    const changes = feedState.feed.replaceBy(snapshot.blocks);
+    for (const change of changes) this.applyChange(core, change, nowMs);
+    feedState.nextSequence = snapshot.nextSequence;
   }
 
-  private tell(core: EngineCore, change: ReturnType<EventFeed['apply']>, nowMs: number): void {
+  private applyChange(
+    core: EngineCore,
+    change: ReturnType<EventFeed['apply']>,
+    nowMs: number,
+  ): void {
     if (!change) return;
     const { directory } = this.homeOf(change.root);
     const { engineId } = core.settings;
--- a/src/lab/experiment/placed-request.ts
+++ b/src/lab/experiment/placed-request.ts
@@ -1,10 +1,10 @@
-/** A request of an experiment, hashed once for all policies. */
+/** Hashes the requests of an experiment. */
 import type { Hasher } from '../../runtime/hasher.js';
 import { chainSeed, formatCacheSalt, hashBlocks, selectMarks } from '../../state/prefix-chain.js';
 import type { SampleRequest } from '../load/workload.js';
 
-/** What a policy sees of a request. */
-export interface PlacedRequest {
+/** A request with the hashes of its prompt, as policies receive it. */
+export interface HashedRequest {
   readonly sample: SampleRequest;
   readonly arrivalMs: number;
   readonly prompt: Uint8Array;
@@ -14,13 +14,13 @@
   readonly marks: readonly bigint[];
 }
 
-/** Hashes a request under its tenant, model and weights. */
-export function placeRequest(
+/** Hashes the prompt of a request, scoped by tenant, model and weights. */
+export function hashRequest(
   hasher: Hasher,
   sample: SampleRequest,
   weightsDigest: string,
   arrivalMs: number,
-): PlacedRequest {
+): HashedRequest {
   const { tenant, model } = sample.profile;
   const seed = chainSeed(hasher, { tenant, model, weightsDigest, adapterDigest: '' });
   const prompt = new TextEncoder().encode(sample.prompt);
--- a/src/lab/experiment/policy.ts
+++ b/src/lab/experiment/policy.ts
@@ -1,14 +1,14 @@
-/** What an experiment compares: ways to choose an engine. */
+/** Interface of the engine selection policies that an experiment compares. */
 import type { EngineCore } from '../engine/engine-core.js';
-import type { PlacedRequest } from './placed-request.js';
+import type { HashedRequest } from './placed-request.js';
 
-/** One way to choose an engine. */
+/** An engine selection policy. */
 export interface Policy {
   readonly name: string;
-  /** The engine for a request, among those that serve its model. */
-  choose(request: PlacedRequest, engines: readonly EngineCore[], nowMs: number): EngineCore;
-  /** The engine has computed the prompt and says how much it had kept. */
-  onStart(request: PlacedRequest, engine: EngineCore, cachedTokens: number, nowMs: number): void;
-  /** News of the engines: called a few times a second. */
+  /** Chooses an engine for a request among those that serve its model. */
+  choose(request: HashedRequest, engines: readonly EngineCore[], nowMs: number): EngineCore;
+  /** Called when an engine has processed the prompt and reports its number of cached tokens. */
+  onStart(request: HashedRequest, engine: EngineCore, cachedTokens: number, nowMs: number): void;
+  /** Reads new cache events and load reports of the engines. Called periodically. */
   refresh(nowMs: number): void;
 }
--- a/src/lab/http-server.ts
+++ b/src/lab/http-server.ts
@@ -1,20 +1,19 @@
-/** What the HTTP faces of all stand-ins share. */
+/** Helpers for the HTTP servers of the fake outside systems. */
 import Hapi from '@hapi/hapi';
 import type { z } from 'zod';
 import { HttpStatus } from '../protocol/http-status.js';
 import { formatAddress, parseAddress } from '../transport/address.js';
 
-/** Largest request body a stand-in takes. */
 const MAXIMUM_BODY_BYTES = 8 * 1024 * 1024;
 
-/** A running stand-in. */
+/** A running server of a fake system. */
 export interface StandInServer {
   /** Bound `HOST:PORT`. */
   readonly address: string;
   stop(): Promise<void>;
 }
 
-/** A hapi server for an address, not yet started. */
+/** Creates a hapi server for an address without starting it. */
 export function createStandInServer(address: string): Hapi.Server {
   const { host, port } = parseAddress(address);
   const server = Hapi.server({
@@ -23,12 +22,12 @@
     compression: false,
     routes: { payload: { maxBytes: MAXIMUM_BODY_BYTES }, state: { parse: false } },
   });
-  // Each SSE event is its own small write; waiting to fill a segment would delay tokens.
+  // Nagle's algorithm would delay the small writes of SSE events.
   server.listener.on('connection', (socket) => socket.setNoDelay(true));
   return server;
 }
 
-/** Starts a server and describes it. */
+/** Starts a server and returns its bound address. */
 export async function startStandIn(server: Hapi.Server): Promise<StandInServer> {
   await server.start();
   return {
@@ -37,17 +36,17 @@
   };
 }
 
-/** The answer to a body that does not follow the interface. */
+/** Response to a body that doesn't match the schema. */
 export function malformed(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
   return h.response({ error: 'malformed' }).code(HttpStatus.BadRequest);
 }
 
-/** The answer to a call that is done and has nothing to tell. */
+/** Empty response to a successful call. */
 export function done(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
   return h.response().code(HttpStatus.NoContent);
 }
 
-/** Adds the route by which the laboratory sets the faults of a stand-in. */
+/** Adds the route that sets the injected faults of a fake system. */
 export function addFaultRoute<Schema extends z.ZodType>(
   server: Hapi.Server,
   schema: Schema,
@@ -65,7 +64,7 @@
   });
 }
 
-/** A whole number from a query, or the default. */
+/** Returns a query parameter as a number, or the fallback if it is missing or not finite. */
 export function queryNumber(request: Hapi.Request, name: string, fallback: number): number {
   const value = Number((request.query as Record<string, unknown>)[name] ?? fallback);
   return Number.isFinite(value) ? value : fallback;
--- a/src/lab/limit-tolerance.ts
+++ b/src/lab/limit-tolerance.ts
@@ -1,42 +1,45 @@
-/** What may reach an engine that names a limit on requests a second; simulation and soak judge by the same. */
+/** Tolerated request rates of rate-limited engines, shared by the checks of simulation and soak. */
 
-/** Requests are counted over windows of this length, in milliseconds. */
+/** Length of the windows over which requests are counted. */
 export const LIMIT_WINDOW_MS = 4_000;
-/** Requests that were on their way when a router heard of a limit arrive within this time, in milliseconds. */
+/** Requests in flight when a router learns of a limit arrive within this time. */
 export const LIMIT_ON_THE_WAY_MS = 500;
-/** So much of what a limit allows in a window may come, and so many requests on top. */
-const TOLERATED_SHARE = 1.5;
-const TOLERATED_REQUESTS = 5;
+/** A window may hold this factor of its limit, plus a fixed number of requests. */
+const TOLERANCE_FACTOR = 1.5;
+const TOLERANCE_REQUESTS = 5;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Requests that may reach an engine within a span. */
+/** Maximum number of requests that an engine may receive within a time span. */
 export function toleratedRequests(perSecond: number, spanMs: number): number {
   const allowed = (perSecond * spanMs) / MILLISECONDS_PER_SECOND;
-  return Math.round(TOLERATED_SHARE * allowed + TOLERATED_REQUESTS);
+  return Math.round(TOLERANCE_FACTOR * allowed + TOLERANCE_REQUESTS);
 }
 
-/** A window that holds more requests than are allowed. */
-export interface FullWindow {
+/** A window with more requests than allowed. */
+export interface ExceededWindow {
   readonly requests: number;
   readonly allowed: number;
-  /** When it ends. */
+  /** End of the window. */
   readonly atMs: number;
 }
 
 /**
- * Requests of the first window, ending at `fromMs` or later, that holds more than what is allowed when it ends.
+ * Finds the first window, ending at `fromMs` or later, with more requests than allowed at its end.
  *
- * @param arrivedMs moments of the requests, in any order
- * @returns undefined where no window holds more
+ * @param arrivedMs arrival times of the requests, in any order
+ * @param allowedAt allowed number of requests in a window that ends at the given time
+ * @returns undefined if no window exceeds its allowance
  */
 export function firstFullWindow(
   arrivedMs: readonly number[],
   fromMs: number,
   allowedAt: (atMs: number) => number,
-): FullWindow | undefined {
-  const moments = [...arrivedMs].sort((left, right) => left - right);
-  for (const atMs of moments.filter((moment) => moment >= fromMs)) {
-    const window = moments.filter((each) => each > atMs - LIMIT_WINDOW_MS && each <= atMs);
+): ExceededWindow | undefined {
+  const sortedArrivalsMs = [...arrivedMs].sort((left, right) => left - right);
+  for (const atMs of sortedArrivalsMs.filter((arrivalMs) => arrivalMs >= fromMs)) {
+    const window = sortedArrivalsMs.filter(
+      (otherMs) => otherMs > atMs - LIMIT_WINDOW_MS && otherMs <= atMs,
+    );
     const allowed = allowedAt(atMs);
     if (window.length > allowed) return { requests: window.length, allowed, atMs };
   }
--- a/src/lab/load/load-generator.ts
+++ b/src/lab/load/load-generator.ts
@@ -1,4 +1,4 @@
-/** Sends sample traffic to an agent as an ordinary caller would, over HTTP. */
+/** Sends sample traffic to an agent over HTTP. */
 import { HttpStatus } from '../../protocol/http-status.js';
 import Wreck from '@hapi/wreck';
 import http from 'node:http';
@@ -7,7 +7,8 @@
 import { Measurements, type RequestMeasurement } from './measurements.js';
 import type { SampleRequest, Workload } from './workload.js';
 
-const DONE = '[DONE]';
+/** Data of the last event of a completion stream. */
+const DONE_MARKER = '[DONE]';
 
 interface StreamChunk {
   readonly choices?: readonly { readonly delta?: { readonly content?: string } }[];
@@ -27,7 +28,7 @@
   done: boolean;
 }
 
-/** Sends `count` requests, `concurrency` at a time; `onProgress` hears of each that ended. */
+/** Sends `count` requests, `concurrency` at a time. Calls `onProgress` after each request. */
 export async function generateLoad(
   agentAddress: string,
   workload: Workload,
@@ -52,7 +53,7 @@
   return measurements;
 }
 
-/** Sends one streamed chat completion and measures it. */
+/** Sends one streaming chat completion request and measures the response. */
 export async function sendRequest(
   agentAddress: string,
   sample: SampleRequest,
@@ -77,7 +78,7 @@
     firstTokenMs: state.firstTokenMs,
     promptTokens: state.usage?.prompt_tokens ?? 0,
     cachedTokens: state.usage?.prompt_tokens_details.cached_tokens ?? 0,
-    knownTokens: Math.floor(sample.knownCharacters / BYTES_PER_TOKEN),
+    repeatedTokens: Math.floor(sample.knownCharacters / BYTES_PER_TOKEN),
   };
 }
 
@@ -105,13 +106,13 @@
     response.resume();
     return;
   }
-  const parser = createParser({ onEvent: (event) => takeEvent(event.data, startedMs, state) });
+  const parser = createParser({ onEvent: (event) => handleEvent(event.data, startedMs, state) });
   response.setEncoding('utf8');
   for await (const text of response) parser.feed(text as string);
 }
 
-function takeEvent(data: string, startedMs: number, state: StreamState): void {
-  if (data === DONE) {
+function handleEvent(data: string, startedMs: number, state: StreamState): void {
+  if (data === DONE_MARKER) {
     state.done = true;
     return;
   }
--- a/src/lab/load/measurements.ts
+++ b/src/lab/load/measurements.ts
@@ -1,32 +1,32 @@
-/** What sample traffic measures: whole answers, errors, hit rate, recomputation, first tokens. */
+/** Measures sample traffic: errors, cache hit rate, recomputation and time to first token. */
 import { type Histogram, build } from 'hdr-histogram-js';
 
-/** One finished request as its caller saw it. */
+/** Measurement of one finished request at its caller. */
 export interface RequestMeasurement {
-  /** Empty for a whole answer, else the kind of error. */
+  /** Kind of error; empty for a complete response. */
   readonly error: string;
   readonly firstTokenMs: number;
   readonly promptTokens: number;
   readonly cachedTokens: number;
-  /** Prompt tokens that had been sent before in the same order. */
-  readonly knownTokens: number;
+  /** Length of the prompt prefix, in tokens, that earlier requests also contained. */
+  readonly repeatedTokens: number;
 }
 
-/** Figures over many requests. */
+/** Aggregated measurements of many requests. */
 export interface MeasurementSummary {
   readonly requests: number;
   readonly errors: number;
   readonly errorKinds: Readonly<Record<string, number>>;
-  /** Prompt tokens not recomputed, as a share of all. */
+  /** Share of prompt tokens that came from an engine's cache. */
   readonly hitRate: number;
-  /** Prompt tokens recomputed though they had been computed before, as a share of all. */
+  /** Share of prompt tokens recomputed although an earlier request had the same prefix. */
   readonly wastedShare: number;
   readonly firstTokenMs: { readonly p50: number; readonly p95: number; readonly p99: number };
 }
 
 const MICROSECONDS_PER_MS = 1_000;
 
-/** Collects measurements. */
+/** Aggregates measurements of requests. */
 export class Measurements {
   private readonly firstToken: Histogram = build({ numberOfSignificantValueDigits: 3 });
   private readonly errorKinds = new Map<string, number>();
@@ -38,15 +38,15 @@
   add(measurement: RequestMeasurement): void {
     this.requests += 1;
     if (measurement.error !== '') {
-      const present = this.errorKinds.get(measurement.error) ?? 0;
-      this.errorKinds.set(measurement.error, present + 1);
+      const previousCount = this.errorKinds.get(measurement.error) ?? 0;
+      this.errorKinds.set(measurement.error, previousCount + 1);
       return;
     }
-    const { firstTokenMs, promptTokens, cachedTokens, knownTokens } = measurement;
+    const { firstTokenMs, promptTokens, cachedTokens, repeatedTokens } = measurement;
     this.firstToken.recordValue(Math.round(firstTokenMs * MICROSECONDS_PER_MS));
     this.promptTokens += promptTokens;
     this.cachedTokens += cachedTokens;
-    this.wastedTokens += Math.max(0, knownTokens - cachedTokens);
+    this.wastedTokens += Math.max(0, repeatedTokens - cachedTokens);
   }
 
   summary(): MeasurementSummary {
@@ -71,7 +71,7 @@
   }
 }
 
-/** The summary as lines for a screen. */
+/** Formats the summary as lines for a terminal. */
 export function formatSummary(summary: MeasurementSummary): string {
   const { requests, errors, errorKinds, hitRate, wastedShare, firstTokenMs } = summary;
   const percent = (value: number): string => `${(value * 100).toFixed(1)} %`;
--- a/src/lab/load/workload.ts
+++ b/src/lab/load/workload.ts
@@ -1,17 +1,17 @@
-/** Sample traffic: prompts of tenants that share long, nested beginnings. */
+/** Generates sample traffic whose prompts share long, nested prefixes within each tenant. */
 import type { RandomSource } from '../../runtime/random.js';
 
-/** One tenant's traffic. */
+/** Traffic profile of one tenant. */
 export interface CallerProfile {
   readonly tenant: string;
   readonly key: string;
   readonly model: string;
-  /** Characters that all of the tenant's prompts begin with. */
+  /** Length of the prefix that all prompts of the tenant share. */
   readonly sharedCharacters: number;
-  /** Characters of each branch below that beginning. */
+  /** Length of the text that the prompts of one branch share after that prefix. */
   readonly branchCharacters: number;
   readonly branches: number;
-  /** Share of the traffic, relative to the other tenants'. */
+  /** Traffic weight relative to the other tenants. */
   readonly weight: number;
   readonly maxTokens: number;
 }
@@ -21,20 +21,21 @@
   readonly profile: CallerProfile;
   readonly branch: number;
   readonly prompt: string;
-  /** Characters of the prompt that were sent before in the same order. */
+  /** Length of the prompt prefix, in characters, that earlier requests also contained. */
   readonly knownCharacters: number;
 }
 
 const QUESTION_CHARACTERS = 160;
-/** How far the hottest branch moves at a shift. */
+/** Number of branches by which the hottest branch moves at a shift. */
 const BRANCH_STRIDE = 3;
-const FILLER = 'the record of changes and rules that stands before every question of this kind. ';
+const FILLER_TEXT =
+  'the record of changes and rules that stands before every question of this kind. ';
 
-/** Draws requests; the same random source gives the same requests. */
+/** Generates requests. The same random source gives the same requests. */
 export class Workload {
   private readonly texts = new Map<string, string>();
-  private readonly seen = new Set<string>();
-  private drawn = 0;
+  private readonly sentParts = new Set<string>();
+  private requestCount = 0;
   private branchOffset = 0;
 
   constructor(
@@ -45,44 +46,45 @@
   next(): SampleRequest {
     const profile = this.drawProfile();
     const branch = this.drawBranch(profile);
-    const shared = this.textOf(`${profile.tenant}`, profile.sharedCharacters);
-    const below = this.textOf(`${profile.tenant}/${branch}`, profile.branchCharacters);
-    this.drawn += 1;
-    const question = fillText(`question ${this.drawn}`, QUESTION_CHARACTERS);
-    const knownCharacters = this.knownCharacters(profile, branch);
-    return { profile, branch, prompt: shared + below + question, knownCharacters };
+    const sharedText = this.textOf(`${profile.tenant}`, profile.sharedCharacters);
+    const branchText = this.textOf(`${profile.tenant}/${branch}`, profile.branchCharacters);
+    this.requestCount += 1;
+    const question = fillText(`question ${this.requestCount}`, QUESTION_CHARACTERS);
+    const knownCharacters = this.countRepeatedCharacters(profile, branch);
+    return { profile, branch, prompt: sharedText + branchText + question, knownCharacters };
   }
 
   private drawProfile(): CallerProfile {
     const total = this.profiles.reduce((sum, profile) => sum + profile.weight, 0);
-    let rest = this.random.next() * total;
+    let remainingWeight = this.random.next() * total;
     for (const profile of this.profiles) {
-      rest -= profile.weight;
-      if (rest < 0) return profile;
+      remainingWeight -= profile.weight;
+      if (remainingWeight < 0) return profile;
     }
     return this.profiles[this.profiles.length - 1] as CallerProfile;
   }
 
-  /** Moves the hot branches on, as they shift from hour to hour. */
+  /** Changes which branches are hot. */
   shiftBranches(): void {
     this.branchOffset += 1;
   }
 
-  /** Low branches are hot: the square of a uniform draw. */
+  /** Draws a branch by the square of a uniform value, which favors low ranks. */
   private drawBranch(profile: CallerProfile): number {
     const draw = this.random.next();
     const rank = Math.floor(draw * draw * profile.branches);
     return (rank + this.branchOffset * BRANCH_STRIDE) % profile.branches;
   }
 
-  private knownCharacters(profile: CallerProfile, branch: number): number {
+  /** Counts the characters that earlier requests contained, and records the prompt as sent. */
+  private countRepeatedCharacters(profile: CallerProfile, branch: number): number {
     const branchKey = `${profile.tenant}/${branch}`;
-    let known = 0;
-    if (this.seen.has(profile.tenant)) known += profile.sharedCharacters;
-    if (this.seen.has(branchKey)) known += profile.branchCharacters;
-    this.seen.add(profile.tenant);
-    this.seen.add(branchKey);
-    return known;
+    let repeatedCharacters = 0;
+    if (this.sentParts.has(profile.tenant)) repeatedCharacters += profile.sharedCharacters;
+    if (this.sentParts.has(branchKey)) repeatedCharacters += profile.branchCharacters;
+    this.sentParts.add(profile.tenant);
+    this.sentParts.add(branchKey);
+    return repeatedCharacters;
   }
 
   private textOf(name: string, characters: number): string {
@@ -95,8 +97,8 @@
   }
 }
 
-/** A text of exactly that many characters which differs from the start for each name. */
+/** Returns a text of the given length. The texts of different names differ near the start. */
 function fillText(name: string, characters: number): string {
-  const line = `[${name}] ${FILLER}`;
+  const line = `[${name}] ${FILLER_TEXT}`;
   return line.repeat(Math.ceil(characters / line.length)).slice(0, characters);
 }
--- a/src/lab/platform/http-face.ts
+++ b/src/lab/platform/http-face.ts
@@ -1,4 +1,4 @@
-/** The stand-in platform over HTTP: object API and machine list (docs/INTERFACES.md). */
+/** HTTP server of the fake platform: object API and machine list (docs/INTERFACES.md). */
 import { HttpStatus } from '../../protocol/http-status.js';
 import type Hapi from '@hapi/hapi';
 import { z } from 'zod';
@@ -27,7 +27,7 @@
   lose_write_answers: z.number().int().min(0).optional(),
 });
 
-/** Starts the HTTP face of the platform. */
+/** Starts the HTTP server of the fake platform. */
 export function startPlatformFace(
   store: ObjectStore,
   machines: MachineRegistry,
@@ -109,8 +109,8 @@
   });
 }
 
-function applyFaults({ faults }: ObjectStore, wanted: z.infer<typeof faultsSchema>): void {
-  faults.down = wanted.down ?? faults.down;
-  faults.delayMs = wanted.delay_ms ?? faults.delayMs;
-  faults.loseWriteAnswers = wanted.lose_write_answers ?? faults.loseWriteAnswers;
+function applyFaults({ faults }: ObjectStore, update: z.infer<typeof faultsSchema>): void {
+  faults.down = update.down ?? faults.down;
+  faults.delayMs = update.delay_ms ?? faults.delayMs;
+  faults.loseWriteAnswers = update.lose_write_answers ?? faults.loseWriteAnswers;
 }
--- a/src/lab/platform/machine-registry.ts
+++ b/src/lab/platform/machine-registry.ts
@@ -1,26 +1,26 @@
-/** The stand-in of the platform's machine list: shows changes only after a lag. */
+/** A fake machine list of the platform. Publishes changes after a delay. */
 import { type Clock, sleep } from '../../runtime/clock.js';
 import type { Machine, MachineList } from '../../protocol/machine-list/port.js';
 
 const POLL_MS = 50;
 
-/** Machines in memory. */
+/** In-memory machine list. */
 export class MachineRegistry {
   private readonly machines = new Map<string, Machine>();
-  private shown: MachineList = { version: 0, machines: [] };
+  private published: MachineList = { version: 0, machines: [] };
 
   constructor(
     private readonly clock: Clock,
     private readonly lagMs: number,
   ) {}
 
-  /** Adds or replaces a machine; shown after the lag. */
+  /** Adds or replaces a machine. The change is published after the lag. */
   put(machine: Machine): void {
     this.machines.set(machine.id, machine);
-    this.publishLater();
+    this.schedulePublish();
   }
 
-  /** Marks a machine as leaving. */
+  /** Sets whether a machine is leaving. */
   setLeaving(machineId: string, leaving: boolean): void {
     const machine = this.machines.get(machineId);
     if (machine) this.put({ ...machine, leaving });
@@ -28,23 +28,23 @@
 
   remove(machineId: string): void {
     this.machines.delete(machineId);
-    this.publishLater();
+    this.schedulePublish();
   }
 
-  /** Resolves with a list above `afterVersion`, or undefined after `waitMs`. */
+  /** Resolves with a list newer than `afterVersion`, or with undefined after `waitMs`. */
   async watch(afterVersion: number, waitMs: number): Promise<MachineList | undefined> {
     const deadlineMs = this.clock.now() + waitMs;
-    while (this.shown.version <= afterVersion) {
+    while (this.published.version <= afterVersion) {
       if (this.clock.now() >= deadlineMs) return undefined;
       await sleep(this.clock, POLL_MS);
     }
-    return this.shown;
+    return this.published;
   }
 
-  private publishLater(): void {
+  private schedulePublish(): void {
     const publish = (): void => {
       const machines = [...this.machines.values()];
-      this.shown = { version: this.shown.version + 1, machines };
+      this.published = { version: this.published.version + 1, machines };
     };
     if (this.lagMs === 0) publish();
     else this.clock.setTimer(this.lagMs, publish);
--- a/src/lab/platform/object-store.ts
+++ b/src/lab/platform/object-store.ts
@@ -1,16 +1,16 @@
-/** The stand-in of the platform's object API: versions, compare-and-swap, watches, and outages. */
+/** A fake object store of the platform with compare-and-swap, watches and injected faults. */
 import type { Clock, Timer } from '../../runtime/clock.js';
 import type { StoredObject } from '../../protocol/object-api/port.js';
 
-/** How the store misbehaves; changed while it runs. */
+/** Injected faults, which may change while the store runs. */
 export interface ObjectStoreFaults {
-  /** No call is answered. */
+  /** No call gets a response. */
   down: boolean;
-  /** Added to each call. */
+  /** Latency added to each call. */
   delayMs: number;
-  /** The next writes take effect and their answers are lost. */
+  /** Number of next writes that take effect but whose responses are lost. */
   loseWriteAnswers: number;
-  /** The next watches are answered from a replica that lags by one version. */
+  /** Number of next watches that return the previous version, as a lagging replica would. */
   staleWatches: number;
 }
 
@@ -26,7 +26,7 @@
   readonly timer: Timer;
 }
 
-/** Objects in memory. */
+/** In-memory object store. */
 export class ObjectStore {
   readonly faults: ObjectStoreFaults = {
     down: false,
@@ -35,9 +35,9 @@
     staleWatches: 0,
   };
   private readonly objects = new Map<string, StoredObject>();
-  private readonly previous = new Map<string, StoredObject>();
+  private readonly previousVersions = new Map<string, StoredObject>();
   private readonly watchers = new Set<Watcher>();
-  /** Calls by kind, for measurements. */
+  /** Number of calls by kind. */
   readonly calls = { reads: 0, writes: 0, watches: 0 };
 
   constructor(private readonly clock: Clock) {}
@@ -56,23 +56,23 @@
     const presentVersion = this.objects.get(name)?.version ?? 0;
     if (presentVersion !== expectedVersion) return { kind: 'conflict', presentVersion };
     const object = { version: presentVersion + 1, content };
-    const before = this.objects.get(name);
-    if (before) this.previous.set(name, before);
+    const previousObject = this.objects.get(name);
+    if (previousObject) this.previousVersions.set(name, previousObject);
     this.objects.set(name, object);
-    this.wake(name, object);
+    this.notifyWatchers(name, object);
     return { kind: 'written', version: object.version };
   }
 
-  /** Resolves with a version above `afterVersion`, or undefined after `waitMs`. */
+  /** Resolves with a version newer than `afterVersion`, or with undefined after `waitMs`. */
   watch(name: string, afterVersion: number, waitMs: number): Promise<StoredObject | undefined> {
     this.calls.watches += 1;
-    const present = this.objects.get(name);
-    const stale = this.previous.get(name);
-    if (stale && this.faults.staleWatches > 0) {
+    const current = this.objects.get(name);
+    const staleObject = this.previousVersions.get(name);
+    if (staleObject && this.faults.staleWatches > 0) {
       this.faults.staleWatches -= 1;
-      return Promise.resolve(stale);
+      return Promise.resolve(staleObject);
     }
-    if (present && present.version > afterVersion) return Promise.resolve(present);
+    if (current && current.version > afterVersion) return Promise.resolve(current);
     return new Promise((resolve) => {
       const timer = this.clock.setTimer(waitMs, () => {
         this.watchers.delete(watcher);
@@ -83,7 +83,7 @@
     });
   }
 
-  private wake(name: string, object: StoredObject): void {
+  private notifyWatchers(name: string, object: StoredObject): void {
     for (const watcher of [...this.watchers]) {
       if (watcher.name !== name || object.version <= watcher.afterVersion) continue;
       this.watchers.delete(watcher);
--- a/src/lab/scale/hollow-engine-port.ts
+++ b/src/lab/scale/hollow-engine-port.ts
@@ -1,4 +1,4 @@
-/** Engines that only speak of themselves: cache events at a given rate, and a status. */
+/** Synthetic engines for scale runs, which only publish cache events and a status. */
 import { sleep } from '../../runtime/clock.js';
 import type {
   EngineCacheEvent,
@@ -12,54 +12,58 @@
 import { hostNameOf } from '../simulation/simulated-transports.js';
 
 const MS_PER_SECOND = 1_000;
-/** Blocks of one prompt, stored together and evicted together. */
-const CHAIN_BLOCKS = 128;
+/** Blocks of one prompt, which are stored and evicted together. */
+const PROMPT_BLOCKS = 128;
 const HASH_MULTIPLIER = 0x9e3779b97f4a7c15n;
 const HASH_MASK = 0xffff_ffff_ffff_ffffn;
-const ENGINE_STRIDE = 1_000_000_000;
+/** Keeps the block hashes of different engines apart. */
+const ENGINE_HASH_STRIDE = 1_000_000_000;
 
-/** One hollow engine: an endless sequence of events, each a function of its number. */
-class HollowEngine {
-  private readonly base: bigint;
+/** One synthetic engine. Each event is computed from its sequence number. */
+class SyntheticEngine {
+  private readonly hashOffset: bigint;
 
   constructor(
     readonly engineId: string,
     index: number,
-    private readonly keptChains: number,
+    private readonly cachedPrompts: number,
   ) {
-    this.base = BigInt(index * ENGINE_STRIDE);
+    this.hashOffset = BigInt(index * ENGINE_HASH_STRIDE);
   }
 
-  /** Event number `sequence`, from 1: chains are stored in turn, the oldest evicted after each. */
-  event(sequence: number): EngineCacheEvent {
+  /**
+   * Returns the event of a sequence number, starting at 1. Prompts are stored one after another.
+   * Once the cache is full, the oldest prompt is evicted before each new one.
+   */
+  eventAt(sequence: number): EngineCacheEvent {
     const index = sequence - 1;
-    const warmUp = this.keptChains * CHAIN_BLOCKS;
-    if (index < warmUp) return this.stored(index);
-    const cycle = Math.floor((index - warmUp) / (2 * CHAIN_BLOCKS));
-    const inCycle = (index - warmUp) % (2 * CHAIN_BLOCKS);
-    if (inCycle < CHAIN_BLOCKS) {
-      const last = (cycle + 1) * CHAIN_BLOCKS - 1;
+    const warmUpEvents = this.cachedPrompts * PROMPT_BLOCKS;
+    if (index < warmUpEvents) return this.storedEvent(index);
+    const cycle = Math.floor((index - warmUpEvents) / (2 * PROMPT_BLOCKS));
+    const inCycle = (index - warmUpEvents) % (2 * PROMPT_BLOCKS);
+    if (inCycle < PROMPT_BLOCKS) {
+      const last = (cycle + 1) * PROMPT_BLOCKS - 1;
       return { kind: 'removed', block: this.hash(last - inCycle), parent: undefined };
     }
-    return this.stored(warmUp + cycle * CHAIN_BLOCKS + inCycle - CHAIN_BLOCKS);
+    return this.storedEvent(warmUpEvents + cycle * PROMPT_BLOCKS + inCycle - PROMPT_BLOCKS);
   }
 
-  private stored(position: number): EngineCacheEvent {
-    const isFirst = position % CHAIN_BLOCKS === 0;
+  private storedEvent(position: number): EngineCacheEvent {
+    const isFirst = position % PROMPT_BLOCKS === 0;
     const parent = isFirst ? undefined : this.hash(position - 1);
     return { kind: 'stored', block: this.hash(position), parent };
   }
 
   private hash(position: number): bigint {
-    return ((this.base + BigInt(position + 1)) * HASH_MULTIPLIER) & HASH_MASK;
+    return ((this.hashOffset + BigInt(position + 1)) * HASH_MULTIPLIER) & HASH_MASK;
   }
 }
 
-/** All hollow engines of a run, as one simulated host reaches them. */
-export class HollowEnginePort implements EnginePort {
+/** Connects one simulated host to the synthetic engines. */
+export class SyntheticEnginePort implements EnginePort {
   constructor(
     private readonly host: HostClock,
-    private readonly engines: HollowEngines,
+    private readonly engines: SyntheticEngines,
   ) {}
 
   async events(address: string, fromSequence: number, waitMs: number): Promise<EngineEventBatch> {
@@ -68,41 +72,43 @@
   }
 
   snapshot(): Promise<EngineSnapshot> {
-    return Promise.reject(new Error('a hollow feed has no gaps'));
+    return Promise.reject(
+      new Error('synthetic engines provide no snapshots: their event feed has no gaps'),
+    );
   }
 
   generate(): EngineStream {
-    throw new Error('hollow engines take no generation');
+    throw new Error('synthetic engines do not support generation');
   }
 
   resume(): EngineStream {
-    throw new Error('hollow engines have no streams');
+    throw new Error('synthetic engines do not support resuming streams');
   }
 }
 
-/** The hollow engines by identifier. */
-export class HollowEngines {
-  private readonly engines = new Map<string, HollowEngine>();
+/** The synthetic engines of a run, by identifier. */
+export class SyntheticEngines {
+  private readonly engines = new Map<string, SyntheticEngine>();
 
   constructor(
     private readonly eventsPerSecond: number,
-    private readonly keptBlocks: number,
+    private readonly cachedBlocks: number,
   ) {}
 
   add(engineId: string): void {
-    const chains = Math.ceil(this.keptBlocks / CHAIN_BLOCKS);
-    this.engines.set(engineId, new HollowEngine(engineId, this.engines.size, chains));
+    const prompts = Math.ceil(this.cachedBlocks / PROMPT_BLOCKS);
+    this.engines.set(engineId, new SyntheticEngine(engineId, this.engines.size, prompts));
   }
 
-  /** Events that came to be by now, from a number on. */
+  /** Returns the events from a sequence number on that are due by now. */
   batch(engineId: string, fromSequence: number, nowMs: number): EngineEventBatch {
     const engine = this.engines.get(engineId);
-    if (!engine) throw new Error(`no hollow engine ${engineId}`);
-    const LIMIT = 2_000;
+    if (!engine) throw new Error(`unknown synthetic engine ${engineId}`);
+    const MAXIMUM_BATCH_EVENTS = 2_000;
     const last = Math.floor((nowMs / MS_PER_SECOND) * this.eventsPerSecond);
     const events: EngineCacheEvent[] = [];
-    for (let next = fromSequence; next <= last && events.length < LIMIT; next += 1) {
-      events.push(engine.event(next));
+    for (let next = fromSequence; next <= last && events.length < MAXIMUM_BATCH_EVENTS; next += 1) {
+      events.push(engine.eventAt(next));
     }
     return {
       incarnation: 1,
@@ -113,11 +119,11 @@
   }
 }
 
-/** A load that wanders, so that load reports have something to tell. */
+/** Returns a status whose load varies over time, so that load reports change. */
 function statusOf(engineId: string, nowMs: number): EngineStatus {
   const phase = Math.sin(nowMs / MS_PER_SECOND + engineId.length);
   const HALF_LOAD_TOKENS = 3_000;
-  const HALF_BATCH = 16;
+  const HALF_MAXIMUM_REQUESTS = 16;
   return {
     engineId,
     incarnation: 1,
@@ -127,8 +133,8 @@
     leaving: false,
     load: {
       waitingTokens: Math.round(HALF_LOAD_TOKENS * (1 + phase)),
-      requests: Math.round(HALF_BATCH * (1 + phase)),
-      maximumRequests: 2 * HALF_BATCH,
+      requests: Math.round(HALF_MAXIMUM_REQUESTS * (1 + phase)),
+      maximumRequests: 2 * HALF_MAXIMUM_REQUESTS,
       prefillTokensPerSecond: 20_000,
     },
   };
--- a/src/lab/scale/scale-cluster.ts
+++ b/src/lab/scale/scale-cluster.ts
@@ -1,4 +1,4 @@
-/** Hollow routers by the hundred: the real router code on simulated hosts, without callers. */
+/** Runs router nodes on many simulated hosts, with synthetic engines and without callers. */
 import type { RouterNode } from '../../coordination/router/router-node.js';
 import { ALL_PROTECTIONS } from '../../coordination/router/settings.js';
 import { TEMPLATES_OBJECT } from '../../coordination/router/platform-reader.js';
@@ -6,7 +6,7 @@
 import { createTokenModel } from '../engine/token-model.js';
 import { type Hosted, SimulatedCluster } from '../simulation/simulated-cluster.js';
 import { worldTemplates } from '../simulation/world-settings.js';
-import { HollowEnginePort, HollowEngines } from './hollow-engine-port.js';
+import { SyntheticEnginePort, SyntheticEngines } from './hollow-engine-port.js';
 
 /** Size of a scale run. */
 export interface ScaleSize {
@@ -15,27 +15,27 @@
   readonly tenants: number;
   readonly eventsPerEngineSecond: number;
   readonly keptBlocksPerEngine: number;
-  /** Chance that a datagram is lost. */
+  /** Probability that a datagram is lost. */
   readonly datagramLoss: number;
   readonly seed: number;
 }
 
 const ZONES = 6;
 const REGIONS = 2;
-const CONTACTS = 3;
+const CONTACTS_PER_NODE = 3;
 const MACHINE_LIST_LAG_MS = 1_000;
 
-/** A cluster of hollow routers. */
+/** A simulated cluster of routers with synthetic engines. */
 export class ScaleCluster {
   readonly nodes: Hosted<RouterNode>[] = [];
-  private writes = 0;
+  private configurationWrites = 0;
 
   private constructor(
     readonly size: ScaleSize,
     readonly cluster: SimulatedCluster,
   ) {}
 
-  /** Creates the platform and the engines; no node runs yet. */
+  /** Creates the platform and the engines without starting any node. */
   static async create(size: ScaleSize): Promise<ScaleCluster> {
     const cluster = new SimulatedCluster(
       size.seed,
@@ -44,12 +44,15 @@
       await createTokenModel(),
       MACHINE_LIST_LAG_MS,
     );
-    const hollow = new HollowEngines(size.eventsPerEngineSecond, size.keptBlocksPerEngine);
-    cluster.createEnginePort = (_name, host) => new HollowEnginePort(host, hollow);
+    const syntheticEngines = new SyntheticEngines(
+      size.eventsPerEngineSecond,
+      size.keptBlocksPerEngine,
+    );
+    cluster.createEnginePort = (_name, host) => new SyntheticEnginePort(host, syntheticEngines);
     cluster.network.faults.datagramLoss = size.datagramLoss;
     for (let index = 0; index < size.engines; index += 1) {
       const engineId = `engine-${index}`;
-      hollow.add(engineId);
+      syntheticEngines.add(engineId);
       const site = `site-${index % REGIONS}`;
       cluster.fleet.addHollowEngine(engineId, { zone: `zone-${index % ZONES}`, site });
     }
@@ -64,7 +67,7 @@
       name: nodeName(index),
       zone: `zone-${index % ZONES}`,
       region: regionOf(index),
-      contacts: Array.from({ length: CONTACTS }, (_, contact) => nodeName(contact)),
+      contacts: Array.from({ length: CONTACTS_PER_NODE }, (_, contact) => nodeName(contact)),
     });
   }
 
@@ -73,31 +76,32 @@
     if (node) this.cluster.crash(node);
   }
 
-  /** Writes a configuration that differs from the last in one tenant; answers its version. */
+  /** Writes a configuration in which one other tenant is changed, and returns its version. */
   writeConfiguration(): bigint {
     const { store } = this.cluster.fleet;
-    const present = store.read(TEMPLATES_OBJECT)?.version ?? 0;
-    this.writes += 1;
+    const currentVersion = store.read(TEMPLATES_OBJECT)?.version ?? 0;
+    this.configurationWrites += 1;
     const content = JSON.stringify({ configuration: this.configuration() });
-    const result = store.write(TEMPLATES_OBJECT, content, present);
-    return BigInt(result.kind === 'written' ? result.version : present);
+    const result = store.write(TEMPLATES_OBJECT, content, currentVersion);
+    return BigInt(result.kind === 'written' ? result.version : currentVersion);
   }
 
-  /** Nodes whose process runs. */
-  live(): Hosted<RouterNode>[] {
+  /** Nodes whose process is running. */
+  runningNodes(): Hosted<RouterNode>[] {
     return this.nodes.filter(({ host }) => host.isRunning);
   }
 
-  /** Whether each live node sees exactly the live nodes. */
-  get viewsAgree(): boolean {
-    const live = this.live();
-    return live.every(({ node }) => node.workingRouters.length === live.length);
+  /** Whether every running node considers as many routers working as are running. */
+  get membershipConverged(): boolean {
+    const running = this.runningNodes();
+    return running.every(({ node }) => node.workingRouters.length === running.length);
   }
 
-  /** Cuts the two regions off from each other. */
-  cutRegions(): void {
+  /** Blocks all traffic between routers of different regions. */
+  partitionRegions(): void {
     this.cluster.network.cutAll(
-      (left, right) => isNode(left) && isNode(right) && parityOf(left) !== parityOf(right),
+      (left, right) =>
+        isNode(left) && isNode(right) && regionIndexOf(left) !== regionIndexOf(right),
     );
   }
 
@@ -108,8 +112,8 @@
       Array.from({ length: this.size.tenants }, (_, index) => {
         const HASH_DIGITS = 64;
         const sha256 = index.toString(16).padStart(HASH_DIGITS, '0');
-        const changed = index === this.writes % this.size.tenants;
-        const parameters = changed ? { priority: this.writes % 10 } : {};
+        const isChanged = index === this.configurationWrites % this.size.tenants;
+        const parameters = isChanged ? { priority: this.configurationWrites % 10 } : {};
         return [`tenant-${index}`, { ...example, keys: [{ sha256 }], parameters }];
       }),
     );
@@ -129,6 +133,6 @@
   return hostName.startsWith('node-');
 }
 
-function parityOf(hostName: string): number {
+function regionIndexOf(hostName: string): number {
   return Number(hostName.slice('node-'.length)) % REGIONS;
 }
--- a/src/lab/scale/scale-run.ts
+++ b/src/lab/scale/scale-run.ts
@@ -1,4 +1,4 @@
-/** The phases of a scale run, each a measurement at one size. */
+/** Measures startup, steady state, configuration delay and recovery of a simulated cluster. */
 import { sleep } from '../../runtime/clock.js';
 import type { TrafficCount } from '../simulation/traffic-meter.js';
 import { ScaleCluster, type ScaleSize } from './scale-cluster.js';
@@ -6,51 +6,51 @@
 const MS_PER_SECOND = 1_000;
 const MICROSECONDS_PER_SECOND = 1_000_000;
 const STEP_MS = 100;
-const LIMIT_MS = 120_000;
+const PHASE_TIMEOUT_MS = 120_000;
 
-/** Figures of one size. Times in seconds of virtual time. */
+/** Measurements at one cluster size. Times are in seconds of virtual time. */
 export interface ScaleFigures {
   readonly size: ScaleSize;
-  /** Until all see all after starting within ten seconds. */
+  /** From the first start until all nodes are ready and the membership has converged. */
   readonly joinSeconds: number;
   readonly steady: SteadyFigures;
-  /** From the write to force at every node, over all nodes and writes. */
+  /** From a configuration write until a node applies it, over all nodes and writes. */
   readonly inForceSeconds: { readonly p50: number; readonly p99: number; readonly worst: number };
-  /** Undefined where the run ended after the configuration phase. */
+  /** Undefined if the run ended after the configuration phase. */
   readonly recovery: RecoveryFigures | undefined;
 }
 
-/** How the group comes back from failures. Times in seconds of virtual time. */
+/** Recovery times after failures, in seconds of virtual time. */
 export interface RecoveryFigures {
-  /** From a crash to the last node that knows. */
+  /** From a crash until every running node has detected it. */
   readonly detectSeconds: number;
-  /** From a restart of half the nodes until all are ready, and until all see all. */
+  /** From a restart of half the nodes until they are ready, and until the membership converges. */
   readonly herdReadySeconds: number;
   readonly herdViewSeconds: number;
-  /** From the end of a cut between the regions until all see all. */
+  /** From the end of a partition between the regions until the membership converges. */
   readonly regionHealSeconds: number;
-  /** Until a node restarted while the object API is down serves. */
+  /** From a restart during an outage of the object store until the node is ready. */
   readonly restartWithoutApiSeconds: number;
 }
 
-/** Figures at rest: no change of members, engines or configuration, but cache events and loads. */
+/** Measurements while members, engines and configuration don't change. */
 export interface SteadyFigures {
   readonly seconds: number;
   readonly bytesPerNodeSecond: number;
   readonly byKind: readonly (readonly [string, TrafficCount])[];
-  /** Processor seconds of this process for each node and second: simulator included. */
+  /** CPU seconds of this process per node and second, including the simulator. */
   readonly processorShare: number;
   readonly heapMegabytesPerNode: number;
-  /** Nodes that some node took for suspect or dead while all ran. */
+  /** Running nodes that another node declared suspect or dead. */
   readonly falseSuspicions: number;
   readonly falseDeaths: number;
   readonly openWatches: number;
 }
 
-/** Hears which phase begins. */
+/** Called with the name of each phase when it begins. */
 export type PhaseListener = (phase: string) => void;
 
-/** Runs the phases at one size; failures and recovery only where asked for. */
+/** Runs all phases at one cluster size; the recovery phases only if `withRecovery` is set. */
 export async function runScale(
   size: ScaleSize,
   steadySeconds: number,
@@ -63,7 +63,7 @@
   onPhase('steady');
   const steady = await measureSteady(scale, steadySeconds);
   onPhase('configuration');
-  const inForceSeconds = await measureInForce(scale);
+  const inForceSeconds = await measureConfigurationDelay(scale);
   const recovery = withRecovery ? await measureRecovery(scale, onPhase) : undefined;
   return { size, joinSeconds, steady, inForceSeconds, recovery };
 }
@@ -74,57 +74,57 @@
 ): Promise<RecoveryFigures> {
   onPhase('detection');
   const detectSeconds = await measureDetection(scale);
-  onPhase('herd restart');
-  const herd = await measureHerd(scale);
-  onPhase('region cut');
-  const regionHealSeconds = await measureRegionCut(scale);
+  onPhase('restart of half the routers');
+  const massRestart = await measureMassRestart(scale);
+  onPhase('region partition');
+  const regionHealSeconds = await measureRegionPartition(scale);
   onPhase('restart without object API');
   const restartWithoutApiSeconds = await measureRestartWithoutApi(scale);
   return {
     detectSeconds,
-    herdReadySeconds: herd.ready,
-    herdViewSeconds: herd.view,
+    herdReadySeconds: massRestart.ready,
+    herdViewSeconds: massRestart.view,
     regionHealSeconds,
     restartWithoutApiSeconds,
   };
 }
 
-/** Virtual seconds until the condition holds; the limit where it does not. */
+/** Returns the virtual seconds until the condition holds, or the timeout if it never does. */
 async function secondsUntil(scale: ScaleCluster, condition: () => boolean): Promise<number> {
   const { clock } = scale.cluster;
   const startedMs = clock.now();
-  await clock.advanceUntil(condition, LIMIT_MS, STEP_MS);
+  await clock.advanceUntil(condition, PHASE_TIMEOUT_MS, STEP_MS);
   return (clock.now() - startedMs) / MS_PER_SECOND;
 }
 
 async function measureJoin(scale: ScaleCluster): Promise<number> {
   const { clock } = scale.cluster;
-  const SPREAD_MS = 10_000;
+  const START_SPREAD_MS = 10_000;
   const startedMs = clock.now();
   const { nodes } = scale.size;
   for (let index = 0; index < nodes; index += 1) {
     scale.startNode(index);
-    await clock.advance(SPREAD_MS / nodes);
+    await clock.advance(START_SPREAD_MS / nodes);
   }
-  await secondsUntil(scale, () => scale.viewsAgree && isReady(scale));
+  await secondsUntil(scale, () => scale.membershipConverged && areAllReady(scale));
   return (clock.now() - startedMs) / MS_PER_SECOND;
 }
 
-function isReady(scale: ScaleCluster): boolean {
-  return scale.live().every(({ node }) => node.isReady && node.knowsAllEngines);
+function areAllReady(scale: ScaleCluster): boolean {
+  return scale.runningNodes().every(({ node }) => node.isReady && node.knowsAllEngines);
 }
 
 async function measureSteady(scale: ScaleCluster, seconds: number): Promise<SteadyFigures> {
   const { clock, sockets, fleet } = scale.cluster;
-  // What the join set off is not part of the steady state.
+  // Traffic caused by the join is not part of the steady state.
   const SETTLING_MS = 15_000;
   await clock.advance(SETTLING_MS);
   sockets.traffic.reset();
-  const before = suspicionsOf(scale);
+  const before = countSuspicions(scale);
   const cpuBefore = process.cpuUsage();
   await clock.advance(seconds * MS_PER_SECOND);
   const cpu = process.cpuUsage(cpuBefore);
-  const after = suspicionsOf(scale);
+  const after = countSuspicions(scale);
   const nodeSeconds = scale.size.nodes * seconds;
   const BYTES_PER_MEGABYTE = 1_000_000;
   return {
@@ -139,45 +139,47 @@
   };
 }
 
-function suspicionsOf(scale: ScaleCluster): { suspicions: number; deaths: number } {
+function countSuspicions(scale: ScaleCluster): { suspicions: number; deaths: number } {
   let suspicions = 0;
   let deaths = 0;
-  for (const { node } of scale.live()) {
+  for (const { node } of scale.runningNodes()) {
     suspicions += node.membershipCounters.suspicions;
     deaths += node.membershipCounters.deaths;
   }
   return { suspicions, deaths };
 }
 
-async function measureInForce(scale: ScaleCluster): Promise<ScaleFigures['inForceSeconds']> {
+async function measureConfigurationDelay(
+  scale: ScaleCluster,
+): Promise<ScaleFigures['inForceSeconds']> {
   const { clock } = scale.cluster;
   const WRITES = 10;
   const PAUSE_MS = 2_000;
   const delays: number[] = [];
-  for (let write = 0; write < WRITES; write += 1) {
+  for (let writeIndex = 0; writeIndex < WRITES; writeIndex += 1) {
     const startedMs = clock.now();
     const version = scale.writeConfiguration();
-    const waiting = new Set(scale.live());
-    while (waiting.size > 0 && clock.now() - startedMs < LIMIT_MS) {
+    const pendingNodes = new Set(scale.runningNodes());
+    while (pendingNodes.size > 0 && clock.now() - startedMs < PHASE_TIMEOUT_MS) {
       const FINE_STEP_MS = 20;
       await clock.advance(FINE_STEP_MS);
-      for (const hosted of waiting) {
+      for (const hosted of pendingNodes) {
         if (hosted.node.configuration.revision < version) continue;
-        waiting.delete(hosted);
+        pendingNodes.delete(hosted);
         delays.push((clock.now() - startedMs) / MS_PER_SECOND);
       }
     }
-    await sleepVirtual(scale, PAUSE_MS);
+    await advanceClock(scale, PAUSE_MS);
   }
   delays.sort((left, right) => left - right);
-  const at = (share: number): number =>
+  const quantile = (share: number): number =>
     delays[Math.min(delays.length - 1, Math.floor(delays.length * share))] ?? 0;
   const P50 = 0.5;
   const P99 = 0.99;
-  return { p50: at(P50), p99: at(P99), worst: at(1) };
+  return { p50: quantile(P50), p99: quantile(P99), worst: quantile(1) };
 }
 
-async function sleepVirtual(scale: ScaleCluster, ms: number): Promise<void> {
+async function advanceClock(scale: ScaleCluster, ms: number): Promise<void> {
   const { clock } = scale.cluster;
   const slept = sleep(clock, ms);
   await clock.advance(ms);
@@ -185,35 +187,35 @@
 }
 
 async function measureDetection(scale: ScaleCluster): Promise<number> {
-  const victim = scale.size.nodes - 1;
-  scale.crashNode(victim);
-  const seconds = await secondsUntil(scale, () => scale.viewsAgree);
-  scale.startNode(victim);
-  await secondsUntil(scale, () => scale.viewsAgree);
+  const crashedNode = scale.size.nodes - 1;
+  scale.crashNode(crashedNode);
+  const seconds = await secondsUntil(scale, () => scale.membershipConverged);
+  scale.startNode(crashedNode);
+  await secondsUntil(scale, () => scale.membershipConverged);
   return seconds;
 }
 
-async function measureHerd(scale: ScaleCluster): Promise<{ ready: number; view: number }> {
-  const victims = scale.nodes.map((_, index) => index).filter((index) => index % 2 === 1);
-  for (const index of victims) scale.crashNode(index);
+async function measureMassRestart(scale: ScaleCluster): Promise<{ ready: number; view: number }> {
+  const crashedNodes = scale.nodes.map((_, index) => index).filter((index) => index % 2 === 1);
+  for (const index of crashedNodes) scale.crashNode(index);
   const DOWN_MS = 2_000;
   await scale.cluster.clock.advance(DOWN_MS);
   const startedMs = scale.cluster.clock.now();
-  for (const index of victims) scale.startNode(index);
-  const restarted = victims.map((index) => scale.nodes[index]);
+  for (const index of crashedNodes) scale.startNode(index);
+  const restarted = crashedNodes.map((index) => scale.nodes[index]);
   const ready = await secondsUntil(scale, () =>
     restarted.every((hosted) => hosted?.node.isReady ?? false),
   );
-  await secondsUntil(scale, () => scale.viewsAgree);
+  await secondsUntil(scale, () => scale.membershipConverged);
   return { ready, view: (scale.cluster.clock.now() - startedMs) / MS_PER_SECOND };
 }
 
-async function measureRegionCut(scale: ScaleCluster): Promise<number> {
-  const CUT_MS = 120_000;
-  scale.cutRegions();
-  await scale.cluster.clock.advance(CUT_MS);
+async function measureRegionPartition(scale: ScaleCluster): Promise<number> {
+  const PARTITION_MS = 120_000;
+  scale.partitionRegions();
+  await scale.cluster.clock.advance(PARTITION_MS);
   scale.cluster.network.heal();
-  return secondsUntil(scale, () => scale.viewsAgree);
+  return secondsUntil(scale, () => scale.membershipConverged);
 }
 
 async function measureRestartWithoutApi(scale: ScaleCluster): Promise<number> {
