--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -100,7 +100,7 @@
   profile: CallerProfile,
   agent: http.Agent,
 ): Promise<number> {
-  const sample = { profile, branch: 0, prompt: PROMPT, knownCharacters: 0 };
+  const sample = { profile, branch: 0, prompt: PROMPT, repeatedCharacters: 0 };
   const measurement = await sendRequest(address, sample, agent);
   if (measurement.error !== '') throw new Error(`request failed: ${measurement.error}`);
   return measurement.firstTokenMs;
--- a/soak/limit-oracle.ts
+++ b/soak/limit-oracle.ts
@@ -1,8 +1,8 @@
 /** Checks that the routers of a soak together respected the rate limits of engines. */
 import {
-  LIMIT_ON_THE_WAY_MS,
+  LIMIT_IN_FLIGHT_MS,
   LIMIT_WINDOW_MS,
-  firstFullWindow,
+  firstExceededWindow,
   toleratedRequests,
 } from '../src/lab/limit-tolerance.js';
 import { type Arrival, CallArrivals } from './call-arrivals.js';
@@ -41,7 +41,7 @@
   const counted = arrivals.all.filter((arrival) => isCounted(arrival, period, learnedMs, arrivals));
   // On a busy machine requests sent over a longer time may arrive together.
   const allowed = toleratedRequests(perSecond, LIMIT_WINDOW_MS + SLACK_MS);
-  const fullWindow = firstFullWindow(
+  const fullWindow = firstExceededWindow(
     counted.map(({ atMs }) => atMs),
     fromMs + BOUNDS.contact_ms + SLACK_MS,
     () => allowed,
@@ -77,8 +77,7 @@
   arrivals: CallArrivals,
 ): boolean {
   if (engineId !== period.engineId || atMs >= period.untilMs) return false;
-  if (atMs < (learnedMs.get(call.router) ?? Infinity) + LIMIT_ON_THE_WAY_MS + SLACK_MS)
-    return false;
+  if (atMs < (learnedMs.get(call.router) ?? Infinity) + LIMIT_IN_FLIGHT_MS + SLACK_MS) return false;
   const sinceMs = atMs - LIMIT_WINDOW_MS - BOUNDS.contact_ms - SLACK_MS;
   return !arrivals.wasInterrupted(call.router, sinceMs, atMs);
 }
--- a/src/cli/lab-experiment-command.ts
+++ b/src/cli/lab-experiment-command.ts
@@ -6,7 +6,7 @@
 import {
   type Experiment,
   POLICY_NAMES,
-  type PolicyFigures,
+  type PolicyResult,
   type PolicyName,
   runPolicy,
 } from '../lab/experiment/experiment-run.js';
@@ -52,7 +52,7 @@
         .option('out', { type: 'string', describe: 'directory for results.json' }),
     async (argv) => {
       const experiment = readExperiment(argv.file);
-      const results: (PolicyFigures & { seed: number })[] = [];
+      const results: (PolicyResult & { seed: number })[] = [];
       for (let seed = argv.seed; seed < argv.seed + argv.seeds; seed += 1) {
         for (const policy of argv.policies as readonly PolicyName[]) {
           process.stderr.write(`seed ${seed}: ${policy}\n`);
@@ -95,7 +95,7 @@
 }
 
 /** Formats the median over the seeds, followed by the range in parentheses. */
-function formatTable(results: readonly PolicyFigures[]): string {
+function formatTable(results: readonly PolicyResult[]): string {
   const PERCENT = 100;
   const header =
     'policy             hit rate %           wasted %             p50 ms               p99 ms               errors';
@@ -104,7 +104,7 @@
   );
   const lines = comparedPolicies.map((policy) => {
     const rows = results.filter((row) => row.policy === policy);
-    const formatCell = (read: (row: PolicyFigures) => number): string =>
+    const formatCell = (read: (row: PolicyResult) => number): string =>
       formatMedianAndRange(rows.map(read)).padEnd(20);
     return [
       policy.padEnd(18),
--- a/src/cli/lab-scale-command.ts
+++ b/src/cli/lab-scale-command.ts
@@ -2,7 +2,7 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 import type { Argv } from 'yargs';
-import { type RecoveryFigures, type ScaleFigures, runScale } from '../lab/scale/scale-run.js';
+import { type RecoveryResult, type ScaleResult, runScale } from '../lab/scale/scale-run.js';
 
 /** Adds the command `lab scale`. */
 export function addScaleCommand(yargs: Argv): Argv {
@@ -65,7 +65,7 @@
   );
 }
 
-function formatFigures(figures: ScaleFigures): string {
+function formatFigures(figures: ScaleResult): string {
   const { size, steady, inForceSeconds, recovery } = figures;
   const nodeSeconds = size.nodes * steady.seconds;
   const kinds = steady.byKind.map(([kind, { bytes, messages }]) => {
@@ -87,7 +87,7 @@
   ].join('\n');
 }
 
-function formatRecovery(recovery: RecoveryFigures): string[] {
+function formatRecovery(recovery: RecoveryResult): string[] {
   return [
     `crash detected by all       ${recovery.detectSeconds.toFixed(1)} s`,
     `half restarted: ready       ${recovery.herdReadySeconds.toFixed(1)} s, full view ${recovery.herdViewSeconds.toFixed(1)} s`,
--- a/src/lab/backend/http-face.ts
+++ b/src/lab/backend/http-server.ts
@@ -2,10 +2,10 @@
 import { HttpStatus } from '../../protocol/http-status.js';
 import { z } from 'zod';
 import {
-  type StandInServer,
-  createStandInServer,
-  malformed,
-  startStandIn,
+  type FakeServer,
+  createFakeServer,
+  malformedResponse,
+  startFakeServer,
 } from '../http-server.js';
 import type { BackendCore } from './backend-core.js';
 
@@ -18,14 +18,14 @@
 });
 
 /** Starts the HTTP server of a fake back end. */
-export function startBackendFace(core: BackendCore, address: string): Promise<StandInServer> {
-  const server = createStandInServer(address);
+export function startBackendServer(core: BackendCore, address: string): Promise<FakeServer> {
+  const server = createFakeServer(address);
   server.route({
     method: 'POST',
     path: '/v1/{service}/{operation}',
     handler: async (request, h) => {
       const body = invocationSchema.safeParse(request.payload);
-      if (!body.success) return malformed(h);
+      if (!body.success) return malformedResponse(h);
       const result = await core.run({
         requestId: body.data.request_id,
         tenant: body.data.tenant,
@@ -56,5 +56,5 @@
       return { state: 'answered', status: lookup.answer.status, body };
     },
   });
-  return startStandIn(server);
+  return startFakeServer(server);
 }
--- a/src/lab/engine/engine-server.ts
+++ b/src/lab/engine/http-server.ts
@@ -15,12 +15,12 @@
   usageToWire,
 } from '../../protocol/engine/wire-mapping.js';
 import {
-  type StandInServer,
+  type FakeServer,
   addFaultRoute,
-  createStandInServer,
-  done,
+  createFakeServer,
+  emptyResponse,
   queryNumber,
-  startStandIn,
+  startFakeServer,
 } from '../http-server.js';
 import type { EngineCore } from './engine-core.js';
 import type { EngineSequence } from './sequence.js';
@@ -40,8 +40,8 @@
   core: EngineCore,
   clock: Clock,
   address: string,
-): Promise<StandInServer> {
-  const server = createStandInServer(address);
+): Promise<FakeServer> {
+  const server = createFakeServer(address);
   server.ext('onRequest', (request, h) => {
     if (core.isAlive || request.path === '/lab/faults') return h.continue;
     request.raw.req.socket.destroy();
@@ -50,7 +50,7 @@
   addStreamRoutes(server, core);
   addCacheRoutes(server, core, clock);
   addFaultRoute(server, faultsSchema, (faults) => applyFaults(core, faults));
-  return startStandIn(server);
+  return startFakeServer(server);
 }
 
 function addStreamRoutes(server: Hapi.Server, core: EngineCore): void {
@@ -79,7 +79,7 @@
     path: '/v1/requests/{id}',
     handler: (request, h) => {
       core.cancel(String(request.params.id));
-      return done(h);
+      return emptyResponse(h);
     },
   });
 }
--- a/src/lab/experiment/baseline-policies.ts
+++ b/src/lab/experiment/baseline-policies.ts
@@ -5,7 +5,7 @@
 import { BLOCK_TOKENS, tokensOfBytes } from '../../state/prefix-chain.js';
 import { pickByRendezvous } from '../../state/rendezvous.js';
 import type { EngineCore } from '../engine/engine-core.js';
-import type { HashedRequest } from './placed-request.js';
+import type { HashedRequest } from './hashed-request.js';
 import type { Policy } from './policy.js';
 
 const MS_PER_SECOND = 1_000;
--- a/src/lab/experiment/experiment-run.ts
+++ b/src/lab/experiment/experiment-run.ts
@@ -17,7 +17,7 @@
   RandomPolicy,
 } from './baseline-policies.js';
 import { PeatspanPolicy } from './peatspan-policy.js';
-import { type HashedRequest, hashRequest } from './placed-request.js';
+import { type HashedRequest, hashRequest } from './hashed-request.js';
 import type { Policy } from './policy.js';
 
 /** Interval at which the policy reads events and status of the engines. */
@@ -53,7 +53,7 @@
 export type PolicyName = (typeof POLICY_NAMES)[number];
 
 /** Measurements of one policy. */
-export interface PolicyFigures extends MeasurementSummary {
+export interface PolicyResult extends MeasurementSummary {
   readonly policy: PolicyName;
 }
 
@@ -62,7 +62,7 @@
   experiment: Experiment,
   name: PolicyName,
   seed: number,
-): Promise<PolicyFigures> {
+): Promise<PolicyResult> {
   const run = await PolicyRun.create(experiment, name, seed);
   return { policy: name, ...(await run.finish()) };
 }
@@ -198,7 +198,7 @@
       firstTokenMs: this.clock.now() - request.arrivalMs,
       promptTokens: sequence?.promptTokens ?? 0,
       cachedTokens: sequence?.cachedTokens ?? 0,
-      repeatedTokens: Math.floor(request.sample.knownCharacters / BYTES_PER_TOKEN),
+      repeatedTokens: Math.floor(request.sample.repeatedCharacters / BYTES_PER_TOKEN),
     });
   }
 }
--- a/src/lab/experiment/peatspan-policy.ts
+++ b/src/lab/experiment/peatspan-policy.ts
@@ -8,7 +8,7 @@
 import { PrefixDirectory } from '../../state/prefix-directory.js';
 import { pickByRendezvous } from '../../state/rendezvous.js';
 import type { EngineCore } from '../engine/engine-core.js';
-import type { HashedRequest } from './placed-request.js';
+import type { HashedRequest } from './hashed-request.js';
 import type { Policy } from './policy.js';
 
 /** Routers among which the prefixes are divided by rendezvous hashing. */
--- a/src/lab/experiment/policy.ts
+++ b/src/lab/experiment/policy.ts
@@ -1,6 +1,6 @@
 /** Interface of the engine selection policies that an experiment compares. */
 import type { EngineCore } from '../engine/engine-core.js';
-import type { HashedRequest } from './placed-request.js';
+import type { HashedRequest } from './hashed-request.js';
 
 /** An engine selection policy. */
 export interface Policy {
--- a/src/lab/gateway-simulation/limit-oracle.ts
+++ b/src/lab/gateway-simulation/limit-oracle.ts
@@ -1,8 +1,8 @@
 /** Checks that all routers together respect the limits of requests per second of engines. */
 import {
-  LIMIT_ON_THE_WAY_MS,
+  LIMIT_IN_FLIGHT_MS,
   LIMIT_WINDOW_MS,
-  firstFullWindow,
+  firstExceededWindow,
   toleratedRequests,
 } from '../limit-tolerance.js';
 import { RECOVERY_MS } from './disturbances.js';
@@ -66,7 +66,7 @@
   const counted = simulation.observations.arrivals.filter((arrival) =>
     isCounted(arrival, period, firstNoticeMs, simulation),
   );
-  const full = firstFullWindow(
+  const full = firstExceededWindow(
     counted.map(({ atMs }) => atMs),
     firstNamedMs + RECOVERY_MS,
     (atMs) => allowedRequests(period, atMs),
@@ -99,7 +99,7 @@
   simulation: GatewaySimulation,
 ): boolean {
   if (engineId !== period.engineId || atMs >= period.untilMs) return false;
-  if (atMs < (firstNoticeMs.get(router) ?? Infinity) + LIMIT_ON_THE_WAY_MS) return false;
+  if (atMs < (firstNoticeMs.get(router) ?? Infinity) + LIMIT_IN_FLIGHT_MS) return false;
   const sinceMs = atMs - LIMIT_WINDOW_MS - RECOVERY_MS;
   return (
     !simulation.disturbances.wasInterrupted(router, sinceMs, atMs) &&
--- a/src/lab/http-server.ts
+++ b/src/lab/http-server.ts
@@ -7,14 +7,14 @@
 const MAXIMUM_BODY_BYTES = 8 * 1024 * 1024;
 
 /** A running server of a fake system. */
-export interface StandInServer {
+export interface FakeServer {
   /** Bound `HOST:PORT`. */
   readonly address: string;
   stop(): Promise<void>;
 }
 
 /** Creates a hapi server for an address without starting it. */
-export function createStandInServer(address: string): Hapi.Server {
+export function createFakeServer(address: string): Hapi.Server {
   const { host, port } = parseAddress(address);
   const server = Hapi.server({
     host,
@@ -28,7 +28,7 @@
 }
 
 /** Starts a server and returns its bound address. */
-export async function startStandIn(server: Hapi.Server): Promise<StandInServer> {
+export async function startFakeServer(server: Hapi.Server): Promise<FakeServer> {
   await server.start();
   return {
     address: formatAddress(String(server.settings.host), Number(server.info.port)),
@@ -37,12 +37,12 @@
 }
 
 /** Response to a body that doesn't match the schema. */
-export function malformed(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
+export function malformedResponse(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
   return h.response({ error: 'malformed' }).code(HttpStatus.BadRequest);
 }
 
 /** Empty response to a successful call. */
-export function done(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
+export function emptyResponse(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
   return h.response().code(HttpStatus.NoContent);
 }
 
@@ -57,9 +57,9 @@
     path: '/lab/faults',
     handler: (request, h) => {
       const faults = schema.safeParse(request.payload);
-      if (!faults.success) return malformed(h);
+      if (!faults.success) return malformedResponse(h);
       apply(faults.data);
-      return done(h);
+      return emptyResponse(h);
     },
   });
 }
--- a/src/lab/limit-tolerance.ts
+++ b/src/lab/limit-tolerance.ts
@@ -3,7 +3,7 @@
 /** Length of the windows over which requests are counted. */
 export const LIMIT_WINDOW_MS = 4_000;
 /** Requests in flight when a router learns of a limit arrive within this time. */
-export const LIMIT_ON_THE_WAY_MS = 500;
+export const LIMIT_IN_FLIGHT_MS = 500;
 /** A window may hold this factor of its limit, plus a fixed number of requests. */
 const TOLERANCE_FACTOR = 1.5;
 const TOLERANCE_REQUESTS = 5;
@@ -30,7 +30,7 @@
  * @param allowedAt allowed number of requests in a window that ends at the given time
  * @returns undefined if no window exceeds its allowance
  */
-export function firstFullWindow(
+export function firstExceededWindow(
   arrivedMs: readonly number[],
   fromMs: number,
   allowedAt: (atMs: number) => number,
--- a/src/lab/load/load-generator.ts
+++ b/src/lab/load/load-generator.ts
@@ -78,7 +78,7 @@
     firstTokenMs: state.firstTokenMs,
     promptTokens: state.usage?.prompt_tokens ?? 0,
     cachedTokens: state.usage?.prompt_tokens_details.cached_tokens ?? 0,
-    repeatedTokens: Math.floor(sample.knownCharacters / BYTES_PER_TOKEN),
+    repeatedTokens: Math.floor(sample.repeatedCharacters / BYTES_PER_TOKEN),
   };
 }
 
--- a/src/lab/load/workload.ts
+++ b/src/lab/load/workload.ts
@@ -22,7 +22,7 @@
   readonly branch: number;
   readonly prompt: string;
   /** Length of the prompt prefix, in characters, that earlier requests also contained. */
-  readonly knownCharacters: number;
+  readonly repeatedCharacters: number;
 }
 
 const QUESTION_CHARACTERS = 160;
@@ -50,8 +50,8 @@
     const branchText = this.textOf(`${profile.tenant}/${branch}`, profile.branchCharacters);
     this.requestCount += 1;
     const question = fillText(`question ${this.requestCount}`, QUESTION_CHARACTERS);
-    const knownCharacters = this.countRepeatedCharacters(profile, branch);
-    return { profile, branch, prompt: sharedText + branchText + question, knownCharacters };
+    const repeatedCharacters = this.countRepeatedCharacters(profile, branch);
+    return { profile, branch, prompt: sharedText + branchText + question, repeatedCharacters };
   }
 
   private drawProfile(): CallerProfile {
--- a/src/lab/platform/http-face.ts
+++ b/src/lab/platform/http-server.ts
@@ -5,13 +5,13 @@
 import { type Clock, sleep } from '../../runtime/clock.js';
 import { machineSchema } from '../../protocol/machine-list/http-client.js';
 import {
-  type StandInServer,
+  type FakeServer,
   addFaultRoute,
-  createStandInServer,
-  done,
-  malformed,
+  createFakeServer,
+  emptyResponse,
+  malformedResponse,
   queryNumber,
-  startStandIn,
+  startFakeServer,
 } from '../http-server.js';
 import type { MachineRegistry } from './machine-registry.js';
 import type { ObjectStore } from './object-store.js';
@@ -28,13 +28,13 @@
 });
 
 /** Starts the HTTP server of the fake platform. */
-export function startPlatformFace(
+export function startPlatformServer(
   store: ObjectStore,
   machines: MachineRegistry,
   clock: Clock,
   address: string,
-): Promise<StandInServer> {
-  const server = createStandInServer(address);
+): Promise<FakeServer> {
+  const server = createFakeServer(address);
   server.ext('onPreHandler', async (request, h) => {
     if (request.path.startsWith('/lab/')) return h.continue;
     await sleep(clock, store.faults.delayMs);
@@ -45,7 +45,7 @@
   addObjectRoutes(server, store);
   addMachineRoutes(server, machines);
   addFaultRoute(server, faultsSchema, (faults) => applyFaults(store, faults));
-  return startStandIn(server);
+  return startFakeServer(server);
 }
 
 function addObjectRoutes(server: Hapi.Server, store: ObjectStore): void {
@@ -65,11 +65,11 @@
     path: '/objects/{name}',
     handler: (request, h) => {
       const body = writeSchema.safeParse(request.payload);
-      if (!body.success) return malformed(h);
+      if (!body.success) return malformedResponse(h);
       const { content, expected_version: expectedVersion } = body.data;
       const result = store.write(String(request.params.name), content, expectedVersion);
-      if (store.faults.loseWriteAnswers > 0) {
-        store.faults.loseWriteAnswers -= 1;
+      if (store.faults.loseWriteResponses > 0) {
+        store.faults.loseWriteResponses -= 1;
         request.raw.req.socket.destroy();
         return h.abandon;
       }
@@ -94,9 +94,9 @@
     path: '/machines/{id}',
     handler: (request, h) => {
       const machine = machineSchema.safeParse(request.payload);
-      if (!machine.success) return malformed(h);
+      if (!machine.success) return malformedResponse(h);
       machines.put(machine.data);
-      return done(h);
+      return emptyResponse(h);
     },
   });
   server.route({
@@ -104,7 +104,7 @@
     path: '/machines/{id}',
     handler: (request, h) => {
       machines.remove(String(request.params.id));
-      return done(h);
+      return emptyResponse(h);
     },
   });
 }
@@ -112,5 +112,5 @@
 function applyFaults({ faults }: ObjectStore, update: z.infer<typeof faultsSchema>): void {
   faults.down = update.down ?? faults.down;
   faults.delayMs = update.delay_ms ?? faults.delayMs;
-  faults.loseWriteAnswers = update.lose_write_answers ?? faults.loseWriteAnswers;
+  faults.loseWriteResponses = update.lose_write_answers ?? faults.loseWriteResponses;
 }
--- a/src/lab/platform/object-store.ts
+++ b/src/lab/platform/object-store.ts
@@ -9,7 +9,7 @@
   /** Latency added to each call. */
   delayMs: number;
   /** Number of next writes that take effect but whose responses are lost. */
-  loseWriteAnswers: number;
+  loseWriteResponses: number;
   /** Number of next watches that return the previous version, as a lagging replica would. */
   staleWatches: number;
 }
@@ -31,7 +31,7 @@
   readonly faults: ObjectStoreFaults = {
     down: false,
     delayMs: 0,
-    loseWriteAnswers: 0,
+    loseWriteResponses: 0,
     staleWatches: 0,
   };
   private readonly objects = new Map<string, StoredObject>();
--- a/src/lab/scale/scale-cluster.ts
+++ b/src/lab/scale/scale-cluster.ts
@@ -6,7 +6,7 @@
 import { createTokenModel } from '../engine/token-model.js';
 import { type HostedProcess, SimulatedCluster } from '../simulation/simulated-cluster.js';
 import { simulationTemplates } from '../simulation/simulation-settings.js';
-import { SyntheticEnginePort, SyntheticEngines } from './hollow-engine-port.js';
+import { SyntheticEnginePort, SyntheticEngines } from './synthetic-engine-port.js';
 
 /** Size of a scale run. */
 export interface ScaleSize {
@@ -54,7 +54,7 @@
       const engineId = `engine-${index}`;
       syntheticEngines.add(engineId);
       const site = `site-${index % REGIONS}`;
-      cluster.fleet.addHollowEngine(engineId, { zone: `zone-${index % ZONES}`, site });
+      cluster.fleet.addSyntheticEngine(engineId, { zone: `zone-${index % ZONES}`, site });
     }
     const scale = new ScaleCluster(size, cluster);
     scale.writeConfiguration();
--- a/src/lab/scale/scale-run.ts
+++ b/src/lab/scale/scale-run.ts
@@ -9,19 +9,19 @@
 const PHASE_TIMEOUT_MS = 120_000;
 
 /** Measurements at one cluster size. Times are in seconds of virtual time. */
-export interface ScaleFigures {
+export interface ScaleResult {
   readonly size: ScaleSize;
   /** From the first start until all nodes are ready and the membership has converged. */
   readonly joinSeconds: number;
-  readonly steady: SteadyFigures;
+  readonly steady: SteadyStateResult;
   /** From a configuration write until a node applies it, over all nodes and writes. */
   readonly inForceSeconds: { readonly p50: number; readonly p99: number; readonly worst: number };
   /** Undefined if the run ended after the configuration phase. */
-  readonly recovery: RecoveryFigures | undefined;
+  readonly recovery: RecoveryResult | undefined;
 }
 
 /** Recovery times after failures, in seconds of virtual time. */
-export interface RecoveryFigures {
+export interface RecoveryResult {
   /** From a crash until every running node has detected it. */
   readonly detectSeconds: number;
   /** From a restart of half the nodes until they are ready, and until the membership converges. */
@@ -34,7 +34,7 @@
 }
 
 /** Measurements while members, engines and configuration don't change. */
-export interface SteadyFigures {
+export interface SteadyStateResult {
   readonly seconds: number;
   readonly bytesPerNodeSecond: number;
   readonly byKind: readonly (readonly [string, TrafficCount])[];
@@ -56,7 +56,7 @@
   steadySeconds: number,
   withRecovery: boolean,
   onPhase: PhaseListener,
-): Promise<ScaleFigures> {
+): Promise<ScaleResult> {
   const scale = await ScaleCluster.create(size);
   onPhase('join');
   const joinSeconds = await measureJoin(scale);
@@ -71,7 +71,7 @@
 async function measureRecovery(
   scale: ScaleCluster,
   onPhase: PhaseListener,
-): Promise<RecoveryFigures> {
+): Promise<RecoveryResult> {
   onPhase('detection');
   const detectSeconds = await measureDetection(scale);
   onPhase('restart of half the routers');
@@ -114,7 +114,7 @@
   return scale.runningNodes().every(({ node }) => node.isReady && node.hasAllEngineReports);
 }
 
-async function measureSteady(scale: ScaleCluster, seconds: number): Promise<SteadyFigures> {
+async function measureSteady(scale: ScaleCluster, seconds: number): Promise<SteadyStateResult> {
   const { clock, sockets, fleet } = scale.cluster;
   // Traffic caused by the join is not part of the steady state.
   const SETTLING_MS = 15_000;
@@ -151,7 +151,7 @@
 
 async function measureConfigurationDelay(
   scale: ScaleCluster,
-): Promise<ScaleFigures['inForceSeconds']> {
+): Promise<ScaleResult['inForceSeconds']> {
   const { clock } = scale.cluster;
   const WRITES = 10;
   const PAUSE_MS = 2_000;
--- a/src/lab/simulation/fake-fleet.ts
+++ b/src/lab/simulation/fake-fleet.ts
@@ -63,7 +63,7 @@
   }
 
   /** Puts an engine on the machine list without creating a fake for it; used by scale runs. */
-  addHollowEngine(engineId: string, place: SimulatedLocation): void {
+  addSyntheticEngine(engineId: string, place: SimulatedLocation): void {
     this.machines.put(machineOf(engineId, 'engine', place, []));
   }
 
--- a/src/lab/simulation/simulated-platform-ports.ts
+++ b/src/lab/simulation/simulated-platform-ports.ts
@@ -37,8 +37,8 @@
   write(name: string, content: string, expectedVersion: number): Promise<number> {
     return this.call(RESPONSE_TIMEOUT_MS, () => {
       const result = this.store.write(name, content, expectedVersion);
-      if (this.store.faults.loseWriteAnswers > 0) {
-        this.store.faults.loseWriteAnswers -= 1;
+      if (this.store.faults.loseWriteResponses > 0) {
+        this.store.faults.loseWriteResponses -= 1;
         throw new Error('response lost');
       }
       if (result.kind === 'written') return result.version;
--- a/src/programs/simulated-programs.ts
+++ b/src/programs/simulated-programs.ts
@@ -1,12 +1,12 @@
 /** Starts the simulated platform, engines and plain back ends as servers. */
 import { BackendCore, BackendStore } from '../lab/backend/backend-core.js';
-import { startBackendFace } from '../lab/backend/http-face.js';
+import { startBackendServer } from '../lab/backend/http-server.js';
 import { EngineCore } from '../lab/engine/engine-core.js';
-import { startEngineServer } from '../lab/engine/engine-server.js';
+import { startEngineServer } from '../lab/engine/http-server.js';
 import { DEFAULT_ENGINE_SETTINGS, type EngineModelSettings } from '../lab/engine/settings.js';
 import { createTokenModel } from '../lab/engine/token-model.js';
-import type { StandInServer } from '../lab/http-server.js';
-import { startPlatformFace } from '../lab/platform/http-face.js';
+import type { FakeServer } from '../lab/http-server.js';
+import { startPlatformServer } from '../lab/platform/http-server.js';
 import { MachineRegistry } from '../lab/platform/machine-registry.js';
 import { ObjectStore } from '../lab/platform/object-store.js';
 import type { Machine } from '../protocol/machine-list/port.js';
@@ -49,7 +49,7 @@
 /** A running simulated engine. */
 export interface RunningEngine {
   readonly core: EngineCore;
-  readonly server: StandInServer;
+  readonly server: FakeServer;
 }
 
 /** Starts a simulated engine. Its incarnation is its start time in milliseconds. */
@@ -71,16 +71,16 @@
   maximumRunning: number,
   store: BackendStore,
   address: string,
-): Promise<StandInServer> {
+): Promise<FakeServer> {
   const core = new BackendCore({ backendId, workMs, maximumRunning }, store, new SystemClock());
-  return startBackendFace(core, address);
+  return startBackendServer(core, address);
 }
 
 /** A running simulated platform. */
 export interface RunningPlatform {
   readonly store: ObjectStore;
   readonly machines: MachineRegistry;
-  readonly server: StandInServer;
+  readonly server: FakeServer;
 }
 
 /** Starts the simulated platform with an initial configuration and machine list. */
@@ -97,6 +97,6 @@
     store.write(TEMPLATES_OBJECT, JSON.stringify({ configuration: templates }), 0);
   }
   for (const machine of machines) registry.put(machine);
-  const server = await startPlatformFace(store, registry, clock, address);
+  const server = await startPlatformServer(store, registry, clock, address);
   return { store, machines: registry, server };
 }
