--- a/test/gateway/engine-incarnations.test.ts
+++ b/test/gateway/engine-incarnations.test.ts
@@ -314,7 +314,7 @@
     startedAtMs: FIRST_MS,
     order: () => Promise.resolve({ kind: 'accepted', startedAtMs: SECOND_MS }),
   });
-  while (harness.orders.length === 0) await harness.clock.advance(10);
+  while (harness.loadCommands.length === 0) await harness.clock.advance(10);
   const present = harness.registry.findByName(NAME);
   t.is(present?.record.startedAtMs, SECOND_MS);
   t.deepEqual([present?.observedVersions.size, present?.observedLoadCommands], [0, undefined]);
@@ -329,7 +329,7 @@
     startedAtMs: FIRST_MS,
     order: () => new Promise((resolve) => (respond = resolve)),
   });
-  while (harness.orders.length === 0) await harness.clock.advance(50);
+  while (harness.loadCommands.length === 0) await harness.clock.advance(50);
   harness.incarnations.applyEntry(engineRecord(NAME, SECOND_MS));
   harness.coordinator.forgetIncarnation(incarnationOf(NAME, FIRST_MS));
   respond({ kind: 'accepted' });
@@ -346,7 +346,7 @@
     state: () => ({ startedAtMs: FIRST_MS, orderSequence: 9 }),
   });
   await harness.clock.advance(1_200 + ANNOUNCEMENT_MS);
-  t.deepEqual(harness.orders, []);
+  t.deepEqual(harness.loadCommands, []);
   t.is(harness.registry.findByName(NAME)?.record.startedAtMs, SECOND_MS);
   harness.coordinator.stop();
 });
@@ -356,7 +356,7 @@
   while (harness.announcedMs.length === 0) await harness.clock.advance(10);
   harness.incarnations.applyEntry(engineRecord(NAME, SECOND_MS, { modelVersions: new Map() }));
   await harness.clock.advance(ANNOUNCEMENT_MS + 50);
-  t.deepEqual(harness.orders, []);
+  t.deepEqual(harness.loadCommands, []);
   t.deepEqual(harness.coordinator.loadAnnouncements, []);
   harness.coordinator.stop();
 });
--- a/test/gateway/load-command-announcement.test.ts
+++ b/test/gateway/load-command-announcement.test.ts
@@ -12,9 +12,9 @@
 });
 
 test('an engine of a service that is not configured gets no load command', async (t) => {
-  const { clock, coordinator, orders } = coordinatorHarness({ isKnownService: false });
+  const { clock, coordinator, loadCommands } = coordinatorHarness({ isKnownService: false });
   await clock.advance(2_000);
-  t.deepEqual(orders, []);
+  t.deepEqual(loadCommands, []);
   coordinator.stop();
 });
 
--- a/test/helpers/coordinator-harness.ts
+++ b/test/helpers/coordinator-harness.ts
@@ -59,12 +59,12 @@
   };
   const announcedMs: number[] = [];
   const orderedMs: number[] = [];
-  const orders: LoadCommandRequest[] = [];
+  const loadCommands: LoadCommandRequest[] = [];
   const engines = {
-    weightState: () => Promise.resolve({ ...STATE, ...options.state?.() }),
-    order: (_endpoint: unknown, order: LoadCommandRequest) => {
+    readWeightState: () => Promise.resolve({ ...STATE, ...options.state?.() }),
+    sendLoadCommand: (_endpoint: unknown, command: LoadCommandRequest) => {
       orderedMs.push(clock.now());
-      orders.push(order);
+      loadCommands.push(command);
       return options.order?.() ?? Promise.resolve({ kind: 'accepted' as const });
     },
   };
@@ -113,7 +113,7 @@
     health,
     announcedMs,
     orderedMs,
-    orders,
+    loadCommands,
     restarts,
   };
 }
