--- a/src/protocol/object-store/port.ts
+++ b/src/protocol/object-store/port.ts
@@ -7,7 +7,7 @@
   readonly name: string;
   /** Position of the object's last change, in the store era of the response. */
   readonly position: StorePosition;
-  /** Contents as written by the object's owner; unchecked. */
+  /** Contents as written by the object's owner; not validated. */
   readonly spec: unknown;
 }
 
@@ -23,8 +23,8 @@
 export interface ObjectList extends StoreResponse {
   readonly objects: readonly StoredObject[];
   /**
-   * Monotonic time at which the list was known to be current, `never` if unknown. Omitted: the
-   * start of the call.
+   * Instant at which the list was known to be current, `never` if unknown. Omitted: the start of
+   * the call.
    */
   readonly proven?: ElapsedInstant;
   /** Whether another router relayed the list; omitted if it comes from the store itself. */
@@ -42,7 +42,7 @@
   | (StoreResponse & {
       readonly kind: 'events';
       readonly events: readonly ObjectEvent[];
-      /** Monotonic time at which the position was the latest. Omitted: the start of the call. */
+      /** Instant at which the position was the latest. Omitted: the start of the call. */
       readonly proven?: ElapsedInstant;
       /** Whether another router relayed the changes; omitted if they come from the store itself. */
       readonly isRelayed?: boolean;
--- a/src/protocol/peer/cluster-codec.ts
+++ b/src/protocol/peer/cluster-codec.ts
@@ -21,7 +21,7 @@
 /** Fields of a message without those of the protobuf library. */
 export type Contents<Message> = Omit<Message, '$typeName' | '$unknown'>;
 
-/** Datagrams by which routers of a large group share the load that each one has. */
+/** Datagrams by which routers of a large group announce their load to each other. */
 export type WorkDatagram = Extract<ClusterDatagram['body'], { case: 'workReport' | 'workSummary' }>;
 
 /** Datagrams by which routers enforce the quotas of tenants together. */
--- a/src/protocol/peer/relay-codec.ts
+++ b/src/protocol/peer/relay-codec.ts
@@ -30,12 +30,16 @@
 
 /** A decoded response. */
 export interface RelayResponse {
+  /** Number of the query. */
   readonly number: number;
+  /** False if the responding router lacks some of the changes, or is behind the position. */
   readonly isKnown: boolean;
   readonly events: readonly ObjectEvent[];
   /** Its era is unknown if the responding router's version does not send one. */
   readonly position: StorePosition;
+  /** Age of the request to the store that proved the position to be current. */
   readonly proofAgeMs: number;
+  /** Time from the receipt of the query to the response. */
   readonly heldMs: number;
 }
 
--- a/src/protocol/plain-backend/http-client.ts
+++ b/src/protocol/plain-backend/http-client.ts
@@ -53,7 +53,7 @@
 function toLookupResult(body: z.infer<typeof lookupSchema>): LookupResult {
   switch (body.state) {
     case 'answered':
-      return { kind: 'answered', answer: toBackendAnswer(body.status, body.body) };
+      return { kind: 'answered', answer: toBackendResponse(body.status, body.body) };
     case 'running':
       return { kind: 'running' };
     case 'fenced':
@@ -67,7 +67,7 @@
   if (response.status >= HttpStatus.ServerError) {
     return { kind: 'interrupted', reason: `status ${response.status}` };
   }
-  return { kind: 'answered', answer: toBackendAnswer(response.status, response.body) };
+  return { kind: 'answered', answer: toBackendResponse(response.status, response.body) };
 }
 
 function toInvocationFailure(error: unknown, address: string): InvocationResult {
@@ -76,6 +76,6 @@
   return { kind: 'interrupted', reason: 'connection lost' };
 }
 
-function toBackendAnswer(status: number, body: unknown): BackendResponse {
+function toBackendResponse(status: number, body: unknown): BackendResponse {
   return { status, body: new TextEncoder().encode(JSON.stringify(body)) };
 }
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -12,12 +12,12 @@
 export interface Clock {
   /**
    * Monotonic time since an arbitrary start. Like timers, it doesn't advance while the machine is
-   * suspended. For durations, and for waiting until the rights of other nodes have expired.
+   * suspended. For durations, and for waiting until the leases of other nodes have expired.
    */
   now(): number;
   /**
-   * Time on a clock that also counts suspensions. For expiry of what this process relies on: proofs
-   * of current state and its own leases.
+   * Time on a clock that also counts suspensions. For the expiry of proofs of current state and of
+   * the leases of this process.
    */
   elapsed(): ElapsedInstant;
   /** Wall-clock time in Unix milliseconds; may step. */
--- a/src/runtime/pause-detector.ts
+++ b/src/runtime/pause-detector.ts
@@ -1,6 +1,6 @@
 /**
  * Detects pauses of the process, such as a frozen container or CPU throttling. Data read just after
- * a pause may have been buffered in the sockets, so it says nothing about the current state of its
+ * a pause may have been buffered in the sockets, so it may not reflect the current state of its
  * sender. Must be called several times within {@link PAUSE_MS}.
  */
 
--- a/src/runtime/store-position.ts
+++ b/src/runtime/store-position.ts
@@ -1,14 +1,12 @@
 /**
  * A position in the history of the platform's store. When the store is restored from an older copy,
- * its revisions go back and are reused, and its era is incremented. So its responses are ordered by
- * era and revision together, in a type of their own, so that bare revisions can't be compared.
+ * it reuses revisions, and its era is incremented. Responses are therefore ordered by era and
+ * revision together. A separate type prevents comparisons of revisions alone.
  */
 
 /** Eras that are not sent by the store. */
 export const StoreEra = {
-  /**
-   * Reported by a router whose build has no eras. Before all others, so that it replaces nothing.
-   */
+  /** Sent by a router whose version does not support eras; earlier than all other eras. */
   Unknown: -1,
   /** The store has no eras and is never restored. */
   None: 0,
--- a/src/state/event-feed.ts
+++ b/src/state/event-feed.ts
@@ -2,8 +2,8 @@
  * Converts the cache events of one engine (block stored, block removed) to changes of marks.
  *
  * The owner of a feed has one instance for each engine. It announces only marks, each with its
- * root, which are a sixteenth of the blocks. The position of a block is stored as one integer to
- * save memory.
+ * root; one block in {@link MARK_BLOCKS} is a mark. The position of a block is stored as one
+ * integer to save memory.
  */
 import { MARK_BLOCKS } from './prefix-chain.js';
 
@@ -108,7 +108,7 @@
     return number;
   }
 
-  /** Blocks after a root are removed before it, except for removals removedMarks in a gap. */
+  /** An engine removes a root after all blocks that follow it, unless a gap hides a removal. */
   private releaseRoot(number: number): void {
     if (number === NO_ROOT) return;
     this.roots[number] = undefined;
--- a/src/state/membership.ts
+++ b/src/state/membership.ts
@@ -103,10 +103,11 @@
   private cachedWorking: readonly MemberUpdate[] | undefined;
   private sequence = 0;
   private probe: Probe | undefined;
+  /** Members still to be probed before the next shuffle. */
   private round: string[] = [];
   private readonly relayedProbes = new Map<number, RelayedProbe>();
   private currentVersion = 0;
-  /** Members that this node itself declared suspect or dead. */
+  /** Counts how often this node itself declared a member suspect or dead. */
   readonly counters = { suspicions: 0, deaths: 0 };
 
   constructor(
@@ -268,14 +269,14 @@
   }
 
   private relayProbe(message: GossipMessage, requester: MemberUpdate): OutgoingGossip[] {
-    const subject = this.members.get(message.subject)?.update;
-    if (!subject) return [];
+    const target = this.members.get(message.subject)?.update;
+    if (!target) return [];
     this.sequence += 1;
     this.relayedProbes.set(this.sequence, {
       requesterAddress: requester.gossipAddress,
       requesterSequence: message.sequence,
     });
-    return this.ping(subject.gossipAddress, this.sequence);
+    return this.ping(target.gossipAddress, this.sequence);
   }
 
   private handleAck(message: GossipMessage): OutgoingGossip[] {
--- a/src/state/prefix-directory.ts
+++ b/src/state/prefix-directory.ts
@@ -104,7 +104,7 @@
     return depths;
   }
 
-  /** Adds the mark at `index` to engines that have cached all before it; false if none has. */
+  /** Adds the mark at `index` to engines that cached all marks before it; false if none did. */
   private extendDepths(
     depths: Map<string, PrefixDepth>,
     estimates: ReadonlyMap<string, Estimate>,
--- a/src/transport/frame-transport.ts
+++ b/src/transport/frame-transport.ts
@@ -22,7 +22,7 @@
 export interface FrameListener {
   /** The bound address, with the actual port if 0 was requested. */
   readonly address: string;
-  /** Stops accepting connections; open ones are kept. */
+  /** Stops accepting connections; open ones stay open. */
   close(): void;
 }
 
--- a/src/transport/tcp-frame-transport.ts
+++ b/src/transport/tcp-frame-transport.ts
@@ -22,7 +22,7 @@
     this.splitter = new FrameSplitter((frame) => this.receiver(frame));
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => this.receive(chunk));
-    // Every error is followed by a close event, which is the one that users handle.
+    // Every error is followed by a close event, which callers handle.
     socket.on('error', () => undefined);
   }
 
--- a/test/platform/code-cache.test.ts
+++ b/test/platform/code-cache.test.ts
@@ -21,8 +21,8 @@
   return folder;
 }
 
-function start(folder: string, ...words: string[]): string {
-  const result = spawnSync(process.execPath, [path.join(folder, 'peatspan.cjs'), ...words]);
+function start(folder: string, ...flags: string[]): string {
+  const result = spawnSync(process.execPath, [path.join(folder, 'peatspan.cjs'), ...flags]);
   return `${result.stdout.toString()}${result.stderr.toString()}`;
 }
 
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -68,7 +68,7 @@
   ]) {
     const value = { ...SETTINGS, bounds: { ...SETTINGS.bounds, ...bounds } };
     const { rollout, unseenVersionAgeMs } = gatewaySettingsOf(checkSettings('node.json', value));
-    // Requests sent by then start within the margin, whenever the version was published.
+    // Requests sent by then start within the margin, regardless of when the version was published.
     t.true(rollout.graceMs - unseenVersionAgeMs + MARGIN_MS <= bounds.contact_ms);
   }
 });
@@ -78,6 +78,6 @@
   const CONTACT_MS = 3_000;
   t.true(settings.engineWatchMs + WATCH_RESPONSE_MARGIN_MS < CONTACT_MS);
   t.true(settings.configurationWatchMs + WATCH_RESPONSE_MARGIN_MS < CONTACT_MS);
-  // About half of the grace period is left for the rollout of weights published meanwhile.
+  // About half of the grace period remains to roll out weights published before the detection.
   t.true(settings.versionWatchMs + WATCH_RESPONSE_MARGIN_MS < settings.rollout.graceMs * 0.55);
 });
--- a/test/template-store.test.ts
+++ b/test/template-store.test.ts
@@ -64,9 +64,9 @@
   const set = simulationTemplates('v1', 0);
   const verdict = setTenantParameter(set, 'tenant-a', 'priority=5');
   t.is(verdict.kind === 'valid' ? verdict.set.tenants['tenant-a']?.parameters.priority : 0, 5);
-  const refused = setTenantParameter(set, 'tenant-a', 'site_shares={old: 0.5, new: 0.4}');
+  const rejected = setTenantParameter(set, 'tenant-a', 'site_shares={old: 0.5, new: 0.4}');
   t.is(
-    refused.kind === 'invalid' ? refused.problems[0]?.path : '',
+    rejected.kind === 'invalid' ? rejected.problems[0]?.path : '',
     'tenants.tenant-a.parameters.site_shares',
   );
 });
