--- a/src/state/routing/collected-loads.ts
+++ b/src/state/routing/collected-loads.ts
@@ -1,8 +1,8 @@
 /**
- * Aggregates the load reports of routers. Dozens of routers send prompts to the same engines, and
- * each knows only its own requests; with late or partial knowledge of the others' load, a router
- * queues prompts behind each other. One router therefore collects the reports of all and publishes
- * the totals several times a second. Pure.
+ * Aggregates the load reports of routers. Many routers send prompts to the same engines. With
+ * outdated or partial data on the load from the others, a router would choose engines that are
+ * already busy. One router therefore collects the reports of all and publishes the totals several
+ * times a second. Pure.
  */
 import {
   type EngineLoad,
--- a/src/state/routing/engine-crashes.ts
+++ b/src/state/routing/engine-crashes.ts
@@ -5,7 +5,7 @@
  * Pure.
  */
 
-/** Action required after a request broke. */
+/** Action required after the connection of a running request broke. */
 export enum BrokenRequestAction {
   /** It is unknown whether the engine crashed; it must be checked. */
   NeedsCheck = 'needs-check',
@@ -65,40 +65,41 @@
     return BrokenRequestAction.NeedsCheck;
   }
 
-  /** Records that the engine refused a connection. Returns the requests that broke with it. */
+  /** Records that the engine refused a connection; returns the requests its crash interrupted. */
   noteCrashed(engineId: string): string[] {
     this.recordCrashed(engineId, undefined);
-    return fingerprintsOf(this.removeBreaks(this.awaitingCheck, engineId));
+    return fingerprintsOf(this.removeBrokenRequests(this.awaitingCheck, engineId));
   }
 
   /** Records that the engine accepted a connection or that the check was inconclusive. */
   noteNotCrashed(engineId: string): void {
-    const broken = this.removeBreaks(this.awaitingCheck, engineId);
+    const broken = this.removeBrokenRequests(this.awaitingCheck, engineId);
     if (broken.length === 0) return;
-    const earlier = this.removeBreaks(this.unexplained, engineId);
-    this.unexplained.set(engineId, breaksOfLastCrash([...earlier, ...broken]));
+    const earlier = this.removeBrokenRequests(this.unexplained, engineId);
+    this.unexplained.set(engineId, requestsOfLastCrash([...earlier, ...broken]));
     if (this.unexplained.size <= MAXIMUM_UNEXPLAINED_ENGINES) return;
     const [oldest] = this.unexplained.keys();
     if (oldest !== undefined) this.unexplained.delete(oldest);
   }
 
   /**
-   * Records that the engine restarted. Returns the requests that broke with the previous
-   * incarnation, or undefined if its crash was already recorded, so that it is counted once.
+   * Records that the engine restarted. Returns the requests that the crash of the previous
+   * incarnation interrupted, or undefined if that crash was already recorded, so that it is counted
+   * once.
    *
    * @param startedAtMs start time of the new incarnation, Unix milliseconds
    */
   recordRestart(engineId: string, startedAtMs: number): string[] | undefined {
     const wasCrashed = this.crashed.has(engineId);
-    const earlier = this.removeBreaks(this.unexplained, engineId);
-    const broken = [...earlier, ...this.removeBreaks(this.awaitingCheck, engineId)];
+    const earlier = this.removeBrokenRequests(this.unexplained, engineId);
+    const broken = [...earlier, ...this.removeBrokenRequests(this.awaitingCheck, engineId)];
     this.recordCrashed(engineId, startedAtMs);
     if (wasCrashed) return undefined;
     const explained = broken.filter(
       ({ sentMs, brokenMs }) =>
         sentMs < startedAtMs && brokenMs > startedAtMs - RESTART_DETECTION_WINDOW_MS,
     );
-    return fingerprintsOf(breaksOfLastCrash(explained));
+    return fingerprintsOf(requestsOfLastCrash(explained));
   }
 
   private recordCrashed(engineId: string, nextStartedAtMs: number | undefined): void {
@@ -106,18 +107,18 @@
     this.crashed.set(engineId, nextStartedAtMs);
   }
 
-  private removeBreaks(
-    breaksByEngine: Map<string, BrokenRequest[]>,
+  private removeBrokenRequests(
+    brokenByEngine: Map<string, BrokenRequest[]>,
     engineId: string,
   ): BrokenRequest[] {
-    const breaks = breaksByEngine.get(engineId) ?? [];
-    breaksByEngine.delete(engineId);
-    return breaks;
+    const broken = brokenByEngine.get(engineId) ?? [];
+    brokenByEngine.delete(engineId);
+    return broken;
   }
 }
 
-/** The requests that broke close to the last one. */
-function breaksOfLastCrash(broken: readonly BrokenRequest[]): BrokenRequest[] {
+/** The requests whose connections broke shortly before the last one, or with it. */
+function requestsOfLastCrash(broken: readonly BrokenRequest[]): BrokenRequest[] {
   const lastMs = Math.max(...broken.map(({ brokenMs }) => brokenMs));
   return broken.filter(({ brokenMs }) => brokenMs > lastMs - SAME_CRASH_WINDOW_MS);
 }
--- a/src/state/routing/engine-health.ts
+++ b/src/state/routing/engine-health.ts
@@ -27,7 +27,8 @@
 const INITIAL_BUSY_BACKOFF_MS = 150;
 const MAXIMUM_BUSY_BACKOFF_MS = 2_400;
 /**
- * The address belongs to another engine or the weights differ; covers the lag of the engine list.
+ * Avoidance after a response from another engine or with other weights; covers the lag of the
+ * engine list.
  */
 const MISDIRECTED_BACKOFF_MS = 600;
 /** Avoidance after a failed connection, which is stronger evidence than a failed response. */
@@ -45,7 +46,7 @@
   private readonly engines = new Map<string, Health>();
   private readonly loadingUntilMs = new Map<string, number>();
 
-  /** @param sentMs when the successful request was sent; later rejections still count */
+  /** @param sentMs when the successful request was sent; rejections after that still count */
   noteSuccess(engineId: string, sentMs: number): void {
     const health = this.engines.get(engineId);
     if (!health) return;
--- a/src/state/routing/engine-limits.ts
+++ b/src/state/routing/engine-limits.ts
@@ -17,11 +17,11 @@
  */
 const MAXIMUM_AGE_ERROR_MS = 200;
 /**
- * A limit is kept for this long without confirmation. Must exceed the time between two slots of a
- * router in a large group, or a router without a slot would drop the limit and exceed it.
+ * A limit is retained for this long without confirmation. Must exceed the time between two slots of
+ * a router in a large group, or a router without a slot would drop the limit and exceed it.
  */
 const LIMIT_RETENTION_MS = 600_000;
-/** A lifted limit is kept only until older responses and announcements have arrived. */
+/** A lifted limit is retained only until older responses and announcements have arrived. */
 const LIFTED_RETENTION_MS = 60_000;
 
 /** Announcement of an engine's limit to other routers. */
@@ -29,14 +29,17 @@
   readonly engineName: string;
   /** Requests per second; undefined if the limit was lifted. */
   readonly perSecond: number | undefined;
-  /** Time since the earliest moment the engine can have stated this, in milliseconds. */
+  /**
+   * Time since the limit was received, or since the request was sent whose response had none, in
+   * milliseconds.
+   */
   readonly ageMs: number;
 }
 
 /** Last known limit of an engine. */
 interface KnownLimit {
   readonly perSecond: number | undefined;
-  /** Earliest time at which the engine can have stated this. */
+  /** When the limit was received, or when the request was sent whose response had none. */
   readonly asOfMs: number;
   /** When this router first learned the current value. */
   readonly learnedAtMs: number;
--- a/src/state/routing/engine-registry.ts
+++ b/src/state/routing/engine-registry.ts
@@ -97,12 +97,12 @@
   }
 
   /**
-   * Stores the newest entry of an engine. Callers must keep the store's order: of two incarnations,
-   * the one whose entry was written last is the current one, even if its start time is earlier, for
-   * example after its clock was set back. Entries are ignored only for an incarnation that was
-   * listed when the entry of a later start arrived, since the write of the previous incarnation may
-   * complete late. An incarnation superseded by one with an earlier start, or one that was never
-   * listed, may still be the current one.
+   * Stores the newest entry of an engine. Callers must pass the entries in the order in which they
+   * were written to the store. Of two incarnations, the one whose entry was written last is the
+   * current one, even if its start time is earlier, for example after its clock was set back. After
+   * an entry with a later start replaced a listed incarnation, entries of the replaced one are
+   * ignored, since its last write may complete late. Entries of an incarnation that was never
+   * listed, or that was superseded by one with an earlier start, are still stored.
    */
   put(record: EngineRecord): PutOutcome {
     if (this.isEnded(record.id)) return { kind: 'retired' };
@@ -124,8 +124,8 @@
    * was addressed to the registered incarnation, the responder is the newer one regardless of start
    * times, because the call began when the registered incarnation was known. Entries of the
    * registered incarnation are then ignored only if the start times confirm this order. An unknown
-   * earlier start has to wait for its store entry, unless the registered incarnation is inferred.
-   * Returns the record of the incarnation that ended.
+   * incarnation with an earlier start is not registered before its store entry arrives, unless the
+   * registered one is inferred. Returns the record of the incarnation that ended.
    */
   recordResponse(expectedId: string, startedAtMs: number): EngineRecord | undefined {
     const { name } = parseIncarnation(expectedId);
@@ -151,7 +151,7 @@
   }
 
   /**
-   * Records that an engine announced its shutdown in a response, which may be the only sign
+   * Records that an engine announced its shutdown in a response, which may be the only indication
    * during a store outage. An incarnation without an entry is retired. Returns whether this was
    * unknown.
    */
--- a/src/state/routing/load-table.ts
+++ b/src/state/routing/load-table.ts
@@ -5,7 +5,7 @@
   readonly requests: number;
   /** Prompt tokens still to be prefilled, as far as known. */
   readonly unreadTokens: number;
-  /** Tokens of KV cache taken by the requests. */
+  /** Tokens of KV cache used by the requests. */
   readonly heldTokens: number;
 }
 
--- a/src/state/routing/placement.ts
+++ b/src/state/routing/placement.ts
@@ -191,13 +191,13 @@
   return health.backoffs.remainingMs(record.name, nowMs) > 0;
 }
 
-/** Whether the engine's rate limit leaves this router a slot. The limit is never overridden. */
+/** Whether this router has a slot in the engine's rate limit, which is never overridden. */
 function isWithinLimit(
   { record }: Engine,
-  { slotView: turns }: PlacementRequest,
+  { slotView }: PlacementRequest,
   { health }: PlacementTables,
 ): boolean {
-  return health.limits.maySend(record.name, turns);
+  return health.limits.maySend(record.name, slotView);
 }
 
 function isAllowed(
--- a/src/state/routing/prompt-source-choice.ts
+++ b/src/state/routing/prompt-source-choice.ts
@@ -24,8 +24,8 @@
 
 /**
  * Returns the address from which the engine fetches missing prompt parts. Without cache events, a
- * router knows only the prompts it sent itself, and engines evict within seconds. The store is then
- * preferred over such a source, and is named even if the engine should have the whole prefix
+ * router observes only the prompts that it sent itself, and engines evict within seconds. The store
+ * is then preferred over such a source, and is used even if the engine should have the whole prefix
  * cached. A fetch that finds nothing is far cheaper than repeated prefill.
  */
 export function sourceAddress(
--- a/src/state/routing/quota/tenant-account.ts
+++ b/src/state/routing/quota/tenant-account.ts
@@ -104,13 +104,13 @@
       limit === this.limit &&
       context.reachableShare === before.reachableShare &&
       context.ownShare === before.ownShare;
-    const isFewer = context.reachableShare < before.reachableShare;
+    const isShareReduced = context.reachableShare < before.reachableShare;
     this.context = context;
     if (isSame) return;
     this.limit = limit;
     const { rate, size } = this.bounds();
     this.bucket.resize(rate, size, nowMs);
-    if (isFewer && context.reachableShare <= MINORITY_SHARE) this.reset(nowMs);
+    if (isShareReduced && context.reachableShare <= MINORITY_SHARE) this.reset(nowMs);
   }
 
   /**
--- a/src/state/routing/rejection.ts
+++ b/src/state/routing/rejection.ts
@@ -15,7 +15,7 @@
   NoService = 'no-service',
   /** Every engine drains, loads weights, failed this request or has outdated weights. */
   NoEngine = 'no-engine',
-  /** Every eligible engine asked this router to back off. */
+  /** Every eligible engine requested that this router back off. */
   EnginesBackingOff = 'engines-backing-off',
   /** Every eligible engine has a rate limit, and this router has no slot left at any of them. */
   EnginesLimited = 'engines-limited',
@@ -106,7 +106,7 @@
   [RejectionReason.NoConfiguration]: ({ hasPeers }) =>
     hasPeers ? FAILOVER_DELAY_MS : TRANSIENT_DELAY_MS,
   // Routers share their proofs, so the others lack one too. An outage is assumed to last half as
-  // long again.
+  // long again as it has so far.
   [RejectionReason.ConfigurationUnproven]: ({ hasPeers, storeOutMs }) =>
     hasPeers ? Math.max(TRANSIENT_DELAY_MS, storeOutMs / 2) : FAILOVER_DELAY_MS,
   [RejectionReason.TooLate]: ({ excessMs }) => excessMs,
--- a/src/state/routing/request-quarantine.ts
+++ b/src/state/routing/request-quarantine.ts
@@ -1,12 +1,11 @@
 /**
  * Tracks requests that were running on engines when these crashed, by fingerprint. A request that
  * was running at the crashes of several engines and never completed successfully is quarantined as
- * the probable cause: it is not sent to any engine again. Pure; bounded in entries
- * and time.
+ * the probable cause: it is not sent to any engine again. Pure; bounded in entries and time.
  *
- * A crash interrupts every request on the engine, most of which did not cause it. They are not
- * quarantined, because that takes crashes of several engines, and because one successful completion
- * clears a request.
+ * A crash interrupts every request on the engine, most of which did not cause it. These are not
+ * quarantined, because a quarantine requires crashes of several engines, and because one successful
+ * completion clears a request.
  */
 
 /** When a request counts as the cause of crashes. */
--- a/src/state/routing/send-slots.ts
+++ b/src/state/routing/send-slots.ts
@@ -22,7 +22,7 @@
 export interface SlotView {
   /** Wall-clock time in Unix milliseconds; clock skew shifts the slots of a router by as much. */
   readonly wallMs: number;
-  /** Undefined if this router has no slots, since it is leaving or does not know the group yet. */
+  /** Undefined if this router has no slots: it is leaving or has not learned the group yet. */
   readonly interval: SlotInterval | undefined;
 }
 
--- a/src/state/routing/store-readers.ts
+++ b/src/state/routing/store-readers.ts
@@ -1,8 +1,8 @@
 /**
  * Chooses the routers of a large group that read the store directly; the others read it through one
  * of these. Every router computes the same choice from its view of the group. Views may differ
- * temporarily, since every router responds to a query with its last known state and the age of that
- * state. Pure.
+ * temporarily; this is harmless, because every router responds to a query with its last known state
+ * and the age of that state. Pure.
  */
 
 /** The properties of a router that the choice depends on. */
--- a/src/state/routing/superseded-incarnations.ts
+++ b/src/state/routing/superseded-incarnations.ts
@@ -1,7 +1,7 @@
 /**
  * Incarnations that were replaced in the registry by another one. Start times come from clocks that
- * may be set back, so a superseded incarnation can turn out to be the current one; its state is
- * kept.
+ * may be set back, so a superseded incarnation can turn out to be the current one. Its state is
+ * therefore retained.
  */
 import type { EngineRecord } from './engine-record.js';
 
--- a/src/state/routing/weight-lease.ts
+++ b/src/state/routing/weight-lease.ts
@@ -9,9 +9,9 @@
  * without having to read the object meanwhile.
  *
  * The store may be restored from an older copy, with an older record or none. A lease of a previous
- * store era gives no right to act, and no router takes a lease in a new era until every holder of
- * a previous era has stopped acting. The tokens of an era are above those of all previous
- * eras, whatever the record holds.
+ * store era does not allow sending load commands, and no router takes a lease in a new era until
+ * every holder of a previous era has stopped acting. The tokens of an era are above those of all
+ * previous eras, regardless of the record.
  *
  * Two clocks are used. The time for which a router itself may act includes suspensions of its
  * machine, so that it sends no command right after it resumes. The time for which it waits for
@@ -107,7 +107,7 @@
     return this.isOwn ? this.view?.record.fencingToken : undefined;
   }
 
-  /** The position of the own last write; undefined unless this router is the last known holder. */
+  /** Position of this router's last write; undefined unless it is the last known holder. */
   get heldPosition(): StorePosition | undefined {
     const isHeld = this.isOwn && !this.isOutOfDate && !this.isOfPreviousEra;
     return isHeld ? this.position : undefined;
--- a/src/state/routing/weight-versions.ts
+++ b/src/state/routing/weight-versions.ts
@@ -10,8 +10,8 @@
   /** Earliest time at which this router or the announcing one may have observed the version. */
   readonly namedMs: number;
   /**
-   * Whether a router was following the store when the version was published. Otherwise the version
-   * was found later and its time is an estimate.
+   * Whether a router received changes from the store when the version was published. Otherwise the
+   * version was read later and its time is an estimate.
    */
   readonly isWitnessed: boolean;
 }
@@ -44,8 +44,8 @@
     const newest = versions.at(-1)?.version ?? 0;
     const known = versions.find((each) => each.version === published.version);
     const others = versions.filter((each) => each !== known);
-    const kept = known ? moreReliable(known, published) : published;
-    const sorted = [...others, kept].sort((left, right) => left.version - right.version);
+    const preferred = known ? moreReliable(known, published) : published;
+    const sorted = [...others, preferred].sort((left, right) => left.version - right.version);
     this.byModel.set(model, sorted.slice(-MAXIMUM_VERSIONS));
     return published.version > newest;
   }
--- a/test/gateway/engine-backoffs.test.ts
+++ b/test/gateway/engine-backoffs.test.ts
@@ -59,7 +59,7 @@
   t.is(health.shortestWaitMs(['engine-1'], 0, SOLE_ROUTER), 5_000);
 });
 
-test('an engine that announced its shutdown gets no more work, even if its entry returns', (t) => {
+test('an engine that announced its shutdown gets no more work, even if its entry is listed again', (t) => {
   const registry = new EngineRegistry();
   const record = engineRecord('engine-1', 1_000);
   registry.put(record);
--- a/test/gateway/engine-crashes.test.ts
+++ b/test/gateway/engine-crashes.test.ts
@@ -53,7 +53,7 @@
   return { clock, detector, crashes, record, statistics, countChecks: () => checks };
 }
 
-test('all requests that break with an engine are recorded after one refused connection', async (t) => {
+test('all requests that a crash interrupts are recorded after one refused connection', async (t) => {
   const { clock, detector, crashes, countChecks } = createDetectorHarness(ListenerState.Refused);
   for (const fingerprint of ['a', 'b', 'c'])
     detector.recordConnectionLoss(ENGINE, fingerprint, RUN_DURATION_MS);
@@ -94,7 +94,7 @@
   t.deepEqual(crashes, [{ engineId: ENGINE, fingerprints: ['first-send'] }]);
 });
 
-test('a restart before the check is a crash of the requests that broke with it', async (t) => {
+test('a restart before the check is recorded as a crash with the requests it interrupted', async (t) => {
   const { clock, detector, crashes, record } = createDetectorHarness(ListenerState.Listening);
   await clock.advance(5_000);
   detector.recordConnectionLoss(ENGINE, 'reset long before', RUN_DURATION_MS);
--- a/test/gateway/engine-limits-table.test.ts
+++ b/test/gateway/engine-limits-table.test.ts
@@ -39,16 +39,16 @@
 
 test('an announcement applies if it is newer, and a lifted limit only if that is certain', (t) => {
   const limits = new EngineLimits();
-  const named = { engineName: 'engine-1', perSecond: 1.6, ageMs: 0 };
+  const stated = { engineName: 'engine-1', perSecond: 1.6, ageMs: 0 };
   const lifted = { engineName: 'engine-1', perSecond: undefined, ageMs: 0 };
   t.false(limits.receive(lifted, 900));
-  t.true(limits.receive(named, 1_000));
-  t.false(limits.receive({ ...named, perSecond: 2, ageMs: 50 }, 1_020));
+  t.true(limits.receive(stated, 1_000));
+  t.false(limits.receive({ ...stated, perSecond: 2, ageMs: 50 }, 1_020));
   t.false(limits.receive(lifted, 1_100));
   t.is(limits.perSecond('engine-1'), 1.6);
   t.true(limits.receive(lifted, 1_300));
   t.is(limits.perSecond('engine-1'), undefined);
-  t.true(limits.receive(named, 1_301));
+  t.true(limits.receive(stated, 1_301));
 });
 
 test('a limit outlasts the time between two slots in a large group, then expires', (t) => {
--- a/test/gateway/load-commands.test.ts
+++ b/test/gateway/load-commands.test.ts
@@ -74,7 +74,7 @@
   t.is(first?.earliestStartMs(10_000), 13_000);
 });
 
-test('an outdated list does not bring back a replaced incarnation', (t) => {
+test('an outdated list does not register a replaced incarnation again', (t) => {
   const registry = new EngineRegistry();
   const record = engineRecord('engine-1', undefined);
   registry.put(record);
--- a/test/gateway/placement-shortcuts.test.ts
+++ b/test/gateway/placement-shortcuts.test.ts
@@ -31,10 +31,10 @@
     fc.nat({ max: 5 }),
     fc.func(fc.boolean()),
     (holders, affinityKey, count, draw) => {
-      const isFit = (holder: string): boolean => draw(holder);
+      const isEligible = (holder: string): boolean => draw(holder);
       const idOf = (holder: string): string => holder;
-      const expected = homes.first(affinityKey, holders.filter(isFit), idOf, count);
-      t.deepEqual(homes.firstEligible(affinityKey, holders, idOf, count, isFit), expected);
+      const expected = homes.first(affinityKey, holders.filter(isEligible), idOf, count);
+      t.deepEqual(homes.firstEligible(affinityKey, holders, idOf, count, isEligible), expected);
     },
   );
   fc.assert(property, { seed: 11, numRuns: 300 });
--- a/test/gateway/placement-under-load.test.ts
+++ b/test/gateway/placement-under-load.test.ts
@@ -41,14 +41,14 @@
   return { long: shareOf('long'), short: shareOf('short') };
 }
 
-test('streams are on time if routers know the whole load with a delay of 100 ms', async (t) => {
+test('streams are on time if load reports reach all routers every 100 ms', async (t) => {
   const shares = await onTimeShares({ reportPeriodMs: 100 });
   t.log(shares);
   t.true(shares.long > 0.9);
   t.true(shares.short > 0.9);
 });
 
-test('streams are late if routers know only part of the load with a longer delay', async (t) => {
+test('streams are late if load reports are less frequent and reach only a few routers', async (t) => {
   const shares = await onTimeShares({ reportPeriodMs: 250, reportFanout: 4 });
   t.log(shares);
   t.true(shares.long < 0.88);
--- a/test/gateway/quota-account.test.ts
+++ b/test/gateway/quota-account.test.ts
@@ -138,9 +138,9 @@
     simulation.request(index % 3, 'stream-once', 'tenant-2', 0);
     await simulation.clock.advance(20);
   }
-  const denied = simulation.requests.filter(({ reply }) => reply.own?.status === 429);
-  t.true(denied.length > REQUESTS / 2);
-  for (const { id, reply } of denied) {
+  const rejected = simulation.requests.filter(({ reply }) => reply.own?.status === 429);
+  t.true(rejected.length > REQUESTS / 2);
+  for (const { id, reply } of rejected) {
     t.true((reply.own?.retryAfterMs ?? 0) > 0);
     t.false(simulation.observations.runs.some(({ requestId }) => requestId === id));
   }
--- a/test/gateway/rejection.test.ts
+++ b/test/gateway/rejection.test.ts
@@ -35,11 +35,11 @@
     fc.array(fc.tuple(anyContext, fc.integer({ min: 0, max: 400 })), { minLength: 1 }),
     fc.nat(),
     (rejections, seed) => {
-      const advice = new RetryDelays(new SeededRandom(seed));
+      const retryDelays = new RetryDelays(new SeededRandom(seed));
       let nowMs = 0;
       for (const [context, pauseMs] of rejections) {
         nowMs += pauseMs;
-        const delayMs = advice.retryAfterMs('service', context, nowMs);
+        const delayMs = retryDelays.retryAfterMs('service', context, nowMs);
         t.true(
           delayMs >= MINIMUM_DELAY_MS && delayMs <= MAXIMUM_DELAY_WITH_JITTER_MS,
           `${delayMs}`,
@@ -83,7 +83,7 @@
 });
 
 test('the retry delay grows with the duration of a store outage', (t) => {
-  const advice = new RetryDelays({ next: () => 0 });
+  const retryDelays = new RetryDelays({ next: () => 0 });
   const context = {
     reason: RejectionReason.ConfigurationUnproven,
     priority: 1,
@@ -93,11 +93,11 @@
     hasPeers: true,
   };
   const delaysMs = [0, 1_000, 4_000, 60_000].map((storeOutMs) =>
-    advice.retryAfterMs('', { ...context, storeOutMs }, 0),
+    retryDelays.retryAfterMs('', { ...context, storeOutMs }, 0),
   );
   t.deepEqual(delaysMs, [300, 500, 2_000, 3_000]);
   // Without responding peers the state of the other routers is unknown; they may have a proof.
-  t.is(advice.retryAfterMs('', { ...context, storeOutMs: 60_000, hasPeers: false }, 0), 150);
+  t.is(retryDelays.retryAfterMs('', { ...context, storeOutMs: 60_000, hasPeers: false }, 0), 150);
 });
 
 /** Records responses with twice the expected time to first token, then a token every 50 ms. */
--- a/test/gateway/routing-state.test.ts
+++ b/test/gateway/routing-state.test.ts
@@ -41,7 +41,7 @@
   fc.assert(property, SEED);
 });
 
-test('no holder has more followers than it allows, and no router follows too many feeds', (t) => {
+test('no holder has more subscribers than it allows, and no router subscribes to too many feeds', (t) => {
   const property = fc.property(
     fc.integer({ min: 1, max: 120 }),
     fc.integer({ min: 1, max: 120 }),
@@ -52,20 +52,20 @@
         address: `10.0.0.${index}:1`,
         maximumCalls,
       }));
-      const followers = new Map<string, number>();
+      const subscribers = new Map<string, number>();
       for (let rank = 0; rank < routers; rank += 1) {
         const own = assignedFeeds(feeds, rank, routers);
         t.true(own.length <= 48);
         t.is(new Set(own.map((feed) => feed.holder)).size, own.length);
-        for (const { holder } of own) followers.set(holder, (followers.get(holder) ?? 0) + 1);
+        for (const { holder } of own) subscribers.set(holder, (subscribers.get(holder) ?? 0) + 1);
       }
-      for (const count of followers.values()) t.true(count <= maximumCalls);
+      for (const count of subscribers.values()) t.true(count <= maximumCalls);
     },
   );
   fc.assert(property, SEED);
 });
 
-test('a router follows no feeds if it could follow only a small share of them', (t) => {
+test('a router subscribes to no feeds if it could cover only a small share of them', (t) => {
   const feeds = Array.from({ length: 66 }, (_, index) => ({
     holder: `engine-${index}`,
     address: 'a:1',
@@ -89,7 +89,7 @@
   t.deepEqual(['reported', 'unreported', 'used'].map(tokensAt), [5, 0, 5]);
 });
 
-test('in a small deployment every router follows every holder', (t) => {
+test('in a small deployment every router subscribes to the feeds of all holders', (t) => {
   const feeds = Array.from({ length: 14 }, (_, index) => ({
     holder: `engine-${index}`,
     address: 'a:1',
--- a/test/gateway/weight-versions.test.ts
+++ b/test/gateway/weight-versions.test.ts
@@ -15,13 +15,13 @@
 });
 
 /** Reference implementation: the most reliable time of each version. */
-function mostReliableTimes(notes: readonly PublishedVersion[]): Map<number, number> {
+function mostReliableTimes(publications: readonly PublishedVersion[]): Map<number, number> {
   const times = new Map<number, number>();
-  for (const version of new Set(notes.map((note) => note.version))) {
-    const all = notes.filter((note) => note.version === version);
-    const witnessed = all.filter((note) => note.isWitnessed);
+  for (const version of new Set(publications.map((publication) => publication.version))) {
+    const all = publications.filter((publication) => publication.version === version);
+    const witnessed = all.filter((publication) => publication.isWitnessed);
     const mostReliable = witnessed.length > 0 ? witnessed : all;
-    times.set(version, Math.min(...mostReliable.map((note) => note.namedMs)));
+    times.set(version, Math.min(...mostReliable.map((publication) => publication.namedMs)));
   }
   return times;
 }
@@ -30,14 +30,14 @@
   const property = fc.property(
     fc.array(anyVersion, { minLength: 1, maxLength: 20 }),
     fc.integer({ min: 0, max: 45_000 }),
-    (notes, nowMs) => {
+    (publications, nowMs) => {
       const versions = new WeightVersions(GRACE_MS, new StoreOutages());
       let newest = 0;
-      for (const note of notes) {
-        t.is(versions.record(MODEL, note), note.version > newest);
-        newest = Math.max(newest, note.version);
+      for (const publication of publications) {
+        t.is(versions.record(MODEL, publication), publication.version > newest);
+        newest = Math.max(newest, publication.version);
       }
-      const times = [...mostReliableTimes(notes)].sort(([left], [right]) => left - right);
+      const times = [...mostReliableTimes(publications)].sort(([left], [right]) => left - right);
       t.is(versions.newest(MODEL), newest);
       const due = times.filter(([, namedMs]) => nowMs >= namedMs + GRACE_MS);
       t.is(versions.minimum(MODEL, nowMs), Math.max(0, ...due.map(([version]) => version)));
