--- a/src/coordination/gateway/call-log.ts
+++ b/src/coordination/gateway/call-log.ts
@@ -89,7 +89,7 @@
   /** Status of a response by the router itself; 0 if there was none. */
   readonly ownStatus: number;
   /** Status of the engine's response that was passed on. */
-  readonly answerStatus: number | undefined;
+  readonly responseStatus: number | undefined;
   readonly route: string | undefined;
   readonly fingerprint: string | undefined;
   /** Engine of the last send. */
@@ -105,12 +105,13 @@
   end: RequestEnd,
   { logger, clock }: GatewayContext,
 ): void {
-  const { outcome, ownStatus, answerStatus, route, fingerprint, engine, sends, firstChunkMs } = end;
+  const { outcome, ownStatus, responseStatus, route, fingerprint, engine, sends, firstChunkMs } =
+    end;
   logger.info('request_finished', {
     request: id,
     outcome,
     own_status: ownStatus === 0 ? undefined : ownStatus,
-    answer_status: answerStatus,
+    answer_status: responseStatus,
     route,
     fingerprint,
     engine,
--- a/src/coordination/gateway/call-state.ts
+++ b/src/coordination/gateway/call-state.ts
@@ -5,6 +5,6 @@
   /** A send is in progress and no response head was received. */
   Sent = 'sent',
   /** A response is being passed on or buffered. */
-  Answering = 'answering',
+  Responding = 'responding',
   Finished = 'finished',
 }
--- a/src/coordination/gateway/gateway-settings.ts
+++ b/src/coordination/gateway/gateway-settings.ts
@@ -44,8 +44,8 @@
   readonly quotaTolerance?: QuotaTolerance | undefined;
   readonly rollout: RolloutSettings;
   /**
-   * Time after their grace period for which a request that was sent in time may still start on
-   * replaced weights.
+   * Time after the grace period of replaced weights for which a request that was sent in time may
+   * still start on them.
    */
   readonly beginSlackMs: number;
   /**
@@ -56,7 +56,7 @@
   readonly leaseMs: number;
   /** Time after its last lease renewal for which the coordinator sends load commands. */
   readonly leaseActMs: number;
-  /** When a request is quarantined for crashing engines; optional. */
+  /** Threshold for quarantining a request that crashes engines. */
   readonly quarantine?: QuarantinePolicy;
 }
 
--- a/src/coordination/gateway/gateway-statistics.ts
+++ b/src/coordination/gateway/gateway-statistics.ts
@@ -31,7 +31,7 @@
   staleProofRefusals = 0;
   /** Rejected because the generation was expected to end after the caller's deadline. */
   tooLateRejections = 0;
-  /** Sent to check the estimate although expected to miss the deadline, and those that met it. */
+  /** Sent to check the estimate although expected to miss the deadline; those that met it. */
   tooLateSamples = 0;
   tooLateSamplesInTime = 0;
   /** Admitted by the estimate, but cancelled at the caller's deadline. */
@@ -63,11 +63,14 @@
   readonly quotaByTenant = new TenantTotals();
   /** Times that the machine was suspended or its wall clock was set. */
   clockJumps = 0;
+  /** Load commands sent to engines. */
   orders = 0;
+  /** Rollout decisions: to wait, to roll out because it is profitable, or at the deadline. */
   rolloutWaits = 0;
   rolloutsForWorth = 0;
   rolloutsForDeadline = 0;
   sharedTokensRead = 0;
   sharedTokensKept = 0;
+  /** Directory responses to callers. */
   directoryAnswers = 0;
 }
--- a/src/coordination/gateway/quota/group-quota-view.ts
+++ b/src/coordination/gateway/quota/group-quota-view.ts
@@ -39,18 +39,18 @@
   }
 
   get quotaOwnerAddresses(): readonly string[] {
-    // Routers that have just started have only discovered the seeds, and so agree on these.
+    // Routers that have just started have discovered only the seeds, so they agree on these.
     if (!this.isSettled && this.group.seeds.length > 0) return this.group.seeds;
     this.refreshAddresses();
     return this.addresses;
   }
 
   get reachableShare(): number {
-    return this.refreshed().reachable;
+    return this.currentShares().reachable;
   }
 
   get ownShare(): number {
-    return this.refreshed().own;
+    return this.currentShares().own;
   }
 
   heartbeatAgeMs(address: string): number {
@@ -86,7 +86,7 @@
     this.nodeIds = new Map(working.map(({ gossipAddress, nodeId }) => [gossipAddress, nodeId]));
   }
 
-  private refreshed(): { readonly reachable: number; readonly own: number } {
+  private currentShares(): { readonly reachable: number; readonly own: number } {
     const now = this.group.now;
     if (now - this.shares.atMs < MAXIMUM_SHARES_AGE_MS) return this.shares;
     const { working } = this.group;
--- a/src/coordination/gateway/quota/quota-queries.ts
+++ b/src/coordination/gateway/quota/quota-queries.ts
@@ -27,7 +27,7 @@
 /** Attempts for each quota owner, since datagrams can be lost. */
 const SENDS_PER_OWNER = 2;
 
-/** A forwarded query must be answered before the timeout of its sender. */
+/** A forwarded query must end before the timeout of its sender. */
 const SENDS_PER_FORWARDED_QUERY = 1;
 
 /** Upper bound of the first query number, well below the 32-bit limit of the message field. */
@@ -117,8 +117,8 @@
     const pending = this.pending.get(number);
     if (!pending) return;
     const { isForwarded } = pending.query;
-    const sends = isForwarded ? SENDS_PER_FORWARDED_QUERY : SENDS_PER_OWNER;
-    if (pending.sends >= sends) this.skipUnresponsiveOwner(pending);
+    const maximumSends = isForwarded ? SENDS_PER_FORWARDED_QUERY : SENDS_PER_OWNER;
+    if (pending.sends >= maximumSends) this.skipUnresponsiveOwner(pending);
     if (pending.owners.length > 0) {
       this.send(number);
       return;
--- a/src/coordination/gateway/quota/tenant-quotas.ts
+++ b/src/coordination/gateway/quota/tenant-quotas.ts
@@ -195,7 +195,7 @@
     this.parts.statistics.quotaQuestions += 1;
     const others = ownRank < 0 ? rankedOwners : rankedOwners.slice(0, ownRank);
     const query = { ...request, tenant: tenantName, isForwarded };
-    // With more attempts, the timeout of the router that forwarded the query would pass first.
+    // A second attempt would exceed the timeout of the router that forwarded the query.
     const candidates = isForwarded ? others.slice(0, 1) : others;
     this.queries.submit(query, candidates, (verdict) => {
       if (verdict || ownRank < 0) onVerdict(verdict);
@@ -257,8 +257,8 @@
   private announceWatch(tenantName: string, watchMs: number): void {
     const { group, logger } = this.parts;
     logger.info('quota_watched', { tenant: tenantName, watch_ms: watchMs });
-    const notice = create(QuotaNoticeSchema, { tenant: tenantName, watchMs });
-    const datagram = encodeQuotaNotice(notice);
+    const announcement = create(QuotaNoticeSchema, { tenant: tenantName, watchMs });
+    const datagram = encodeQuotaNotice(announcement);
     for (const address of group.quotaOwnerAddresses) {
       if (address !== group.ownAddress) group.send(address, datagram);
     }
--- a/src/coordination/gateway/rejections.ts
+++ b/src/coordination/gateway/rejections.ts
@@ -23,14 +23,14 @@
   hasPeers(): boolean;
 }
 
-/** A rejected request, as far as known. */
+/** Inputs of the response to a rejected request. */
 export interface RejectedRequest {
   readonly reason: RejectionReason;
   /** Empty if no service was selected. */
   readonly service: string;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Time by which the estimate exceeds its bound, in milliseconds. */
+  /** Time by which the estimated duration exceeds the limit, in milliseconds. */
   readonly excessMs?: number | undefined;
   /**
    * Time until the first engine with a backoff or a limit accepts a request of this router, in
@@ -68,12 +68,12 @@
 
 /** Decides the rejections of one router. */
 export class Rejections {
-  private readonly advice: RetryDelays;
+  private readonly retryDelays: RetryDelays;
   private readonly estimate = new FinishEstimate();
   private readonly finishRate = new SendRate();
 
   constructor(private readonly parts: RejectionParts) {
-    this.advice = new RetryDelays(parts.random);
+    this.retryDelays = new RetryDelays(parts.random);
   }
 
   /** Whether a placed generation is expected to meet its deadline. */
@@ -112,7 +112,7 @@
       storeOutMs: outages.currentOutageMs(now),
       hasPeers: this.parts.hasPeers(),
     };
-    const retryAfterMs = this.advice.retryAfterMs(service, facts, now);
+    const retryAfterMs = this.retryDelays.retryAfterMs(service, facts, now);
     return { status: STATUS_NOT_RUN, reason, retryAfterMs };
   }
 
--- a/src/coordination/gateway/reply.ts
+++ b/src/coordination/gateway/reply.ts
@@ -2,7 +2,7 @@
 import type { ForwardedRequest, HeaderLine } from '../../protocol/inference/port.js';
 import type { GenerationShape } from '../../state/routing/generation.js';
 
-/** A complete request of a caller, independent of the HTTP server. */
+/** A request that was received completely. */
 export interface InboundRequest extends ForwardedRequest {
   /** Path without its query. */
   readonly path: string;
--- a/src/coordination/gateway/request-call.ts
+++ b/src/coordination/gateway/request-call.ts
@@ -80,7 +80,7 @@
 
   onHead(send: Send, head: ResponseHead): void {
     this.sendTimeouts.cancel();
-    this.state = CallState.Answering;
+    this.state = CallState.Responding;
     if (!head.isAttested) {
       this.failSend(send, { kind: 'unknown', reason: `unattested-${head.status}` });
       return;
@@ -127,7 +127,7 @@
     else this.retryOnAnotherEngine(failure);
   }
 
-  /** Rejects the request if it has the fingerprint that was quarantined. */
+  /** Rejects the request if its fingerprint is the quarantined one. */
   endIfQuarantined(fingerprint: string): void {
     if (this.state === CallState.Finished || !this.crashes.matches(fingerprint)) return;
     this.send?.cancel();
@@ -219,7 +219,7 @@
   /** Whether the placed request may end before its deadline; rejects it if that is not expected. */
   private meetsDeadline(placement: Placement): boolean {
     const { generation } = this.request;
-    // A request that may have run can only be answered by another send.
+    // Once the request may have run, only another send can complete its response.
     if (!generation || this.mayHaveRun || this.hasBegun) return true;
     const verdict = this.context.rejections.admit(generation, placement, this.remainingMs);
     this.isSample = verdict.kind === 'sample';
@@ -276,8 +276,8 @@
       return;
     }
     const isSafe = this.mayRepeat || !this.mayHaveRun;
-    const isRepeated = isSafe && this.canSendAgain() && !this.crashes.isSuspectedCause(failure);
-    if (!isRepeated || !this.spendRetryBudget(failure)) {
+    const isRetried = isSafe && this.canSendAgain() && !this.crashes.isSuspectedCause(failure);
+    if (!isRetried || !this.spendRetryBudget(failure)) {
       this.reject(rejectionReasonOf(failure), { detail: failure.reason });
       return;
     }
@@ -367,9 +367,9 @@
   private reject(reason: RejectionReason, details: RejectionDetails = {}): void {
     this.send?.cancel();
     const { detail = reason, ...estimates } = details;
-    const isUnanswered = this.state === CallState.Sent;
+    const isAwaitingHead = this.state === CallState.Sent;
     if (this.hasBegun) this.abort(detail);
-    else if (this.mayHaveRun || isUnanswered) this.refuse({ status: 502, reason: detail });
+    else if (this.mayHaveRun || isAwaitingHead) this.refuse({ status: 502, reason: detail });
     else {
       const service = this.service?.name ?? '';
       const priority = this.grant?.priority ?? 0;
@@ -407,16 +407,16 @@
   }
 
   private finish(outcome: string, ownStatus: number, engine: string | undefined): void {
-    const isUnanswered = this.state === CallState.Sent || this.state === CallState.Answering;
+    const isInProgress = this.state === CallState.Sent || this.state === CallState.Responding;
     this.state = CallState.Finished;
     this.deadlineTimer?.cancel();
     this.sendTimeouts.cancel();
-    this.quota.end(this.mayHaveRun || this.hasBegun || isUnanswered);
+    this.quota.end(this.mayHaveRun || this.hasBegun || isInProgress);
     if (this.service && this.sends > 0) this.context.rejections.noteFinish(this.service.name);
     const end = {
       outcome,
       ownStatus,
-      answerStatus: this.response.status,
+      responseStatus: this.response.status,
       route: this.grant?.route.name,
       fingerprint: this.crashes.computedFingerprint,
       engine,
--- a/src/coordination/gateway/response-buffer.ts
+++ b/src/coordination/gateway/response-buffer.ts
@@ -1,7 +1,4 @@
-/**
- * Buffers a short response until it is complete, so that an interrupted one can be retried
- * unnoticed.
- */
+/** Buffers a short response until it is complete, so that it can be retried if interrupted. */
 import type { ResponseHead } from '../../protocol/inference/port.js';
 
 /** Longer responses are streamed through as they arrive. */
--- a/src/coordination/gateway/run-start-deadline.ts
+++ b/src/coordination/gateway/run-start-deadline.ts
@@ -53,7 +53,7 @@
     else this.scheduleCheck();
   }
 
-  /** Time left for the request to start, as far as known, in milliseconds. */
+  /** Time left for the request to start, in milliseconds; Infinity while no deadline is known. */
   private get remainingMs(): number {
     const { versions, clock } = this.parts;
     const nowMs = clock.now();
--- a/src/coordination/gateway/send.ts
+++ b/src/coordination/gateway/send.ts
@@ -62,18 +62,18 @@
 
 /**
  * Time until an engine of the service accepts requests of this router again, in milliseconds;
- * undefined if the placement failed for another reason than backoffs and limits.
+ * undefined if the placement failed for a reason other than backoffs and limits.
  */
 export function engineWaitMs(
   reason: PlacementFailure,
   service: Service,
-  { registry, health, clock, slotView: turnView }: GatewayContext,
+  { registry, health, clock, slotView }: GatewayContext,
 ): number | undefined {
   const isTemporary =
     reason === RejectionReason.EnginesBackingOff || reason === RejectionReason.EnginesLimited;
   if (!isTemporary) return undefined;
   const names = registry.readyOf(service.name).map(({ record }) => record.name);
-  return health.shortestWaitMs(names, clock.now(), turnView());
+  return health.shortestWaitMs(names, clock.now(), slotView());
 }
 
 /**
@@ -158,8 +158,8 @@
   onHead(head: ResponseHead): void {
     if (this.isClosed) return;
     this.headMs = this.context.clock.now();
-    // Only an attested response is certain to come from the engine. A limit that it names is
-    // recorded already.
+    // Only an attested response certainly comes from the engine. If it names a limit, `onNotice`
+    // has already recorded it.
     if (head.isAttested) this.context.limitDiscovery.recordNoLimit(this.answeredRequest);
     this.events.onHead(this, head);
   }
@@ -216,7 +216,7 @@
     this.exchange.resume();
   }
 
-  /** The generation that was sent; undefined if the service makes none. */
+  /** The generation that was sent; undefined if the service does not run generations. */
   private get generation(): GenerationShape | undefined {
     return this.placement.cacheSalt === undefined ? undefined : this.request.generation;
   }
--- a/test/gateway/engine-limits.test.ts
+++ b/test/gateway/engine-limits.test.ts
@@ -14,7 +14,7 @@
 const PLAIN_ENGINE = 3;
 const ENGINES = 5;
 
-test('engines that name a limit receive no more than it while others serve', async (t) => {
+test('engines that name a limit receive no more than it allows while others serve', async (t) => {
   for (const seed of SEEDS) {
     const simulation = await GatewaySimulation.create(seed);
     for (const index of [GENERATION_ENGINE, PLAIN_ENGINE]) {
@@ -26,7 +26,7 @@
   }
 });
 
-test('engines that all name a limit receive no more than it, and callers get a retry delay', async (t) => {
+test('engines that all name a limit receive no more than it allows, and callers get a retry delay', async (t) => {
   for (const seed of SEEDS) {
     const simulation = await GatewaySimulation.create(seed);
     for (let index = 0; index < ENGINES; index += 1)
@@ -35,7 +35,7 @@
     t.deepEqual(findBreaches(simulation), []);
     const share =
       simulation.observations.arrivals.length / (ENGINES * LIMIT_PER_SECOND * LIMITED_S);
-    t.true(share > 0.8, `${share} of what the engines take`);
+    t.true(share > 0.8, `${share} of the requests that the limits allow`);
     const rejections = simulation.requests.flatMap(({ reply }) => reply.own ?? []);
     t.true(rejections.length > 0);
     t.true(
@@ -61,7 +61,7 @@
   }
 });
 
-test('all routers soon lift a limit after one of them learned that it is lifted', async (t) => {
+test('all routers soon stop applying a limit after one of them learned that it was lifted', async (t) => {
   for (const seed of SEEDS) {
     const simulation = await GatewaySimulation.create(seed);
     for (const index of [PLAIN_ENGINE, PLAIN_ENGINE + 1]) simulation.limitEngine(index, 0.5);
--- a/test/gateway/run-start-deadline.test.ts
+++ b/test/gateway/run-start-deadline.test.ts
@@ -27,7 +27,7 @@
   t.deepEqual(expiredMs, [LIMIT_MS]);
 });
 
-test('a newer version that is learned late, after the send, withdraws it within 200 ms', async (t) => {
+test('a send is withdrawn within 200 ms after a newer version is learned late', async (t) => {
   const { clock, versions, startDeadline, expiredMs } = createHarness();
   startDeadline();
   await clock.advance(9_050);
@@ -37,7 +37,7 @@
   t.is(expiredMs.length, 1);
 });
 
-test('a send that starts too late is withdrawn only after its constructor has returned', async (t) => {
+test('a deadline that has already passed expires only after its constructor has returned', async (t) => {
   const { clock, versions, startDeadline, expiredMs } = createHarness();
   versions.record(MODEL, { version: 2, namedMs: 0, isWitnessed: true });
   await clock.advance(LIMIT_MS + 1);
--- a/test/gateway/tenant-quota.test.ts
+++ b/test/gateway/tenant-quota.test.ts
@@ -58,7 +58,7 @@
   }
 });
 
-test('limits hold while a third of the routers is partitioned until its configuration expires', async (t) => {
+test('limits hold while a third of the routers are partitioned until their configuration expires', async (t) => {
   const harness = await QuotaHarness.create(ROUTERS, 4, createDemands(4.6));
   await harness.run(4_000);
   harness.partitionShare(0.35);
@@ -81,7 +81,7 @@
 ]);
 /** Factor of a burst over the usual traffic. */
 const BURST_FACTOR = 4.6;
-/** Partitioned routers serve until their configuration is no longer proven. */
+/** Partitioned routers serve until their configuration is no longer proven current. */
 const PARTITION_MS = 4_600;
 
 /**
@@ -100,7 +100,7 @@
 
 for (const [groupSize, seeds] of SEEDS_BY_GROUP_SIZE) {
   for (const seed of seeds) {
-    test(`quota owners partitioned at the start of a burst: ${groupSize} routers, seed ${seed}`, async (t) => {
+    test(`limits hold when quota owners are partitioned at the start of a burst: ${groupSize} routers, seed ${seed}`, async (t) => {
       const harness = await QuotaHarness.create(groupSize, seed, createDemands());
       await harness.run(2_000);
       for (const tenant of harness.tenants) tenant.tokensPerSecond *= BURST_FACTOR;
--- a/test/helpers/batching-engine.ts
+++ b/test/helpers/batching-engine.ts
@@ -80,9 +80,9 @@
       this.timer = undefined;
       return;
     }
-    const read = this.read();
-    const { stepMs, readTokensPerMs, slowdownFactor: slowness } = this.profile;
-    const durationMs = (stepMs + read / readTokensPerMs) * slowness;
+    const prefilledTokens = this.prefillChunk();
+    const { stepMs, readTokensPerMs, slowdownFactor } = this.profile;
+    const durationMs = (stepMs + prefilledTokens / readTokensPerMs) * slowdownFactor;
     this.timer = this.clock.setTimer(durationMs, () => {
       this.generate();
       this.step();
@@ -95,14 +95,17 @@
       const { stream } = next;
       if (this.usedTokens() + sizeOf(stream) > this.profile.cacheTokens) return;
       this.waiting.shift();
-      const found = Math.max(this.cachedTokens(stream.affinityKey), stream.fetchableTokens);
-      next.unreadTokens = stream.promptTokens - Math.min(found, stream.sharedTokens);
+      const reusableTokens = Math.max(
+        this.cachedTokens(stream.affinityKey),
+        stream.fetchableTokens,
+      );
+      next.unreadTokens = stream.promptTokens - Math.min(reusableTokens, stream.sharedTokens);
       this.running.push(next);
     }
   }
 
   /** Prefills one chunk, earliest admitted prompts first; returns the number of tokens. */
-  private read(): number {
+  private prefillChunk(): number {
     let remainingTokens = this.profile.chunkTokens;
     for (const each of this.running) {
       const chunk = Math.min(remainingTokens, each.unreadTokens);
@@ -110,9 +113,9 @@
       remainingTokens -= chunk;
       if (remainingTokens === 0) break;
     }
-    const read = this.profile.chunkTokens - remainingTokens;
-    this.readTokens += read;
-    return read;
+    const prefilledTokens = this.profile.chunkTokens - remainingTokens;
+    this.readTokens += prefilledTokens;
+    return prefilledTokens;
   }
 
   private generate(): void {
@@ -129,9 +132,9 @@
     }
   }
 
-  private cachePrefix({ affinityKey: subject, sharedTokens }: BatchedStream): void {
-    this.cachedPrefixes.delete(subject);
-    this.cachedPrefixes.set(subject, sharedTokens);
+  private cachePrefix({ affinityKey, sharedTokens }: BatchedStream): void {
+    this.cachedPrefixes.delete(affinityKey);
+    this.cachedPrefixes.set(affinityKey, sharedTokens);
     let cachedTokens = [...this.cachedPrefixes.values()].reduce((sum, tokens) => sum + tokens, 0);
     const availableTokens = this.profile.cacheTokens - this.usedTokens();
     for (const [oldest, tokens] of this.cachedPrefixes) {
