--- a/src/coordination/gateway/collector-choice.ts
+++ b/src/coordination/gateway/collector-choice.ts
@@ -21,7 +21,7 @@
 const UNRESPONSIVE_PERIODS = 5;
 const COOLDOWN_MS = 3_000;
 
-/** Chooses the router with the highest capability that is not in cooldown. */
+/** Chooses the router with the highest capacity that is not in cooldown. */
 export class CollectorChoice {
   private order: readonly MemberUpdate[] = [];
   private orderVersion = -1;
--- a/src/coordination/gateway/group-change-log.ts
+++ b/src/coordination/gateway/group-change-log.ts
@@ -11,7 +11,7 @@
 
   constructor(private readonly logger: Logger) {}
 
-  /** @param silenceMs milliseconds since the last heartbeat of a member */
+  /** @param heartbeatAgeMs milliseconds since the last heartbeat of a member */
   logChanges(members: readonly MemberUpdate[], heartbeatAgeMs: (nodeId: string) => number): void {
     const changed = members.filter(
       ({ nodeId, status }) => this.statuses.get(nodeId) !== status && status !== MemberStatus.Alive,
--- a/src/coordination/gateway/load-collection.ts
+++ b/src/coordination/gateway/load-collection.ts
@@ -1,7 +1,7 @@
 /**
  * Load exchange in a large group: every router reports its work to the collector, the router with
- * the highest capability, which sends the sums to all. If the collector becomes unresponsive, the
- * next router in the order replaces it.
+ * the highest capacity, which sends the sums to all. If the collector becomes unresponsive, the
+ * router with the next highest capacity replaces it.
  */
 import { create } from '@bufbuild/protobuf';
 import { type Clock, type Timer, repeat } from '../../runtime/clock.js';
--- a/src/coordination/gateway/load-command-sender.ts
+++ b/src/coordination/gateway/load-command-sender.ts
@@ -207,9 +207,9 @@
   }
 
   /**
-   * Resolves a command without a response, which the engine may have accepted, may receive late, or
-   * never. If it wasn't accepted, the next command uses the same sequence number, so that only one
-   * is executed.
+   * Resolves a command without a response: the engine may have accepted it, may receive it late, or
+   * may never receive it. If it wasn't accepted, the next command uses the same sequence number, so
+   * that only one of them is executed.
    */
   private async resolveUnanswered(engine: Engine, order: LoadCommandRequest): Promise<void> {
     const state = await this.stateOf(engine, order.model);
--- a/src/coordination/gateway/store-followers.ts
+++ b/src/coordination/gateway/store-followers.ts
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Lists the other kinds too: their watches would notice the lost history only when they end. */
+  /** Lists the other kinds too: their watches would reveal the lost history only when they end. */
   private refreshOthers(source: ObjectFollower): void {
     for (const follower of this.followers) if (follower !== source) void follower.refresh();
   }
--- a/src/coordination/gateway/store-relay/object-mirror.ts
+++ b/src/coordination/gateway/store-relay/object-mirror.ts
@@ -1,6 +1,6 @@
 /**
  * One router's copy of all objects of one kind in the store, with the recent changes and the time
- * at which the copy was proven current. Queries of other routers are answered from it. Performs no
+ * at which the copy was proven current. Responses to other routers are created from it. Performs no
  * I/O.
  */
 import { ElapsedInstant } from '../../../runtime/elapsed-instant.js';
@@ -14,14 +14,14 @@
   readonly events: readonly ObjectEvent[];
 }
 
-/** Batches kept for routers that are slightly behind. */
+/** Batches retained for routers that are slightly behind. */
 const MAXIMUM_BATCHES = 128;
 
 /** The mirror of one kind. */
 export class ObjectMirror {
   private readonly objects = new Map<string, StoredObject>();
   private batches: ChangeBatch[] = [];
-  /** All changes after this position are kept. */
+  /** All changes after this position are retained. */
   private oldestPosition = StorePosition.start;
   private latestPosition = StorePosition.start;
   private provenAt = ElapsedInstant.never;
@@ -90,7 +90,7 @@
   }
 
   /**
-   * Returns the changes after a position in order, or undefined if they are not all kept or the
+   * Returns the changes after a position in order, or undefined if not all are retained or the
    * position is of another era. A removal has the position of the object's last change, so it may
    * be returned repeatedly. The removal of an object that was created again is left out.
    */
--- a/src/coordination/gateway/store-relay/peer-queries.ts
+++ b/src/coordination/gateway/store-relay/peer-queries.ts
@@ -85,7 +85,7 @@
   }
 }
 
-/** The error of a call that neither the store nor another router could answer. */
+/** The error of a call to which neither the store nor another router could respond. */
 export function storeUnavailable(reason: string): ProtocolFailure {
   return new ProtocolFailure({ kind: 'interrupted', address: 'store', reason });
 }
@@ -93,7 +93,7 @@
 function toProvenList(response: RelayResponse, queriedAt: ElapsedInstant): ProvenList {
   const objects = response.events.map((event) => event.object);
   const { position, proofAgeMs } = response;
-  // A router version without eras does not notice that the store was restored.
+  // A router version without eras does not detect that the store was restored.
   const isProof = position.era !== StoreEra.Unknown;
   const proven = isProof ? queriedAt.plus(-proofAgeMs) : ElapsedInstant.never;
   return { objects, position, proven, isRelayed: true };
--- a/src/coordination/gateway/store-relay/relay-server.ts
+++ b/src/coordination/gateway/store-relay/relay-server.ts
@@ -1,7 +1,7 @@
 /**
- * Server of the store relay: answers queries of other routers from this router's mirrors. A query
- * for changes is held until there are changes, its wait is over, or this router's own proof is
- * outdated and the requesting router should use another source.
+ * Server of the store relay: responds to queries of other routers from this router's mirrors. A
+ * query for changes is held until there are changes, its wait is over, or this router's own proof
+ * is outdated and the requesting router should use another source.
  */
 import type { Clock, Timer } from '../../../runtime/clock.js';
 import type { ElapsedInstant } from '../../../runtime/elapsed-instant.js';
@@ -39,7 +39,7 @@
   private readonly encoder = new ResponseEncoder();
   private isStopped = false;
 
-  /** @param maximumProofAgeMs with an older proof, queries are answered without being held */
+  /** @param maximumProofAgeMs with an older proof, queries get a response without being held */
   constructor(
     private readonly mirrors: ObjectMirrors,
     private readonly maximumProofAgeMs: number,
@@ -57,7 +57,7 @@
     connection.onClose(() => this.removeConnection(connection));
   }
 
-  /** Answers held queries of a kind, after its mirror has changed or has got its first proof. */
+  /** Responds to held queries of a kind after its mirror has changed or got its first proof. */
   notifyChange(kind: string): void {
     if (this.batchedKinds.has(kind) || (this.held.get(kind)?.size ?? 0) === 0) return;
     this.batchedKinds.add(kind);
--- a/src/coordination/gateway/store-relay/relayed-object-store.ts
+++ b/src/coordination/gateway/store-relay/relayed-object-store.ts
@@ -259,7 +259,7 @@
       // There is no history from the own position to that of the other router: the kind must be
       // listed.
       if (response.result.kind === 'history-gone') return response.result;
-      // The other router may only know what this router relayed to it.
+      // The other router may have only the state that this router relayed to it.
       if (!this.isProgress(kind, response.result)) throw cause;
       return response.result;
     }
@@ -294,7 +294,7 @@
     if (!reader) return undefined;
     try {
       const list = await this.peers.recentList(reader, kind);
-      // The reader may not have noticed yet that the store was restored.
+      // The reader may not have detected yet that the store was restored.
       const isBehind = list?.position.isBefore(this.parts.mirrors.of(kind).position);
       return isBehind ? undefined : list;
     } catch (cause) {
--- a/src/coordination/gateway/weight-coordinator.ts
+++ b/src/coordination/gateway/weight-coordinator.ts
@@ -179,8 +179,8 @@
   }
 
   /**
-   * Reads the lease as soon as work is ahead, so that a successor's waiting time has elapsed when
-   * the work becomes due.
+   * Reads the lease as soon as an engine lacks the newest weights, so that a successor's waiting
+   * time has elapsed when its rollout becomes due.
    */
   private async readLeaseEarly(): Promise<void> {
     const { lease } = this.parts;
--- a/src/coordination/gateway/weight-version-discovery.ts
+++ b/src/coordination/gateway/weight-version-discovery.ts
@@ -1,7 +1,7 @@
 /**
  * Discovers the weight versions that operators name, from the store and from announcements of other
  * routers. Versions only increase, so announcements can be applied in any order. Each announcement
- * carries the version's age: the time since the sender could have learned of it at the earliest.
+ * carries the version's age: an upper limit of the time since an operator named it.
  */
 import { ElapsedInstant } from '../../runtime/elapsed-instant.js';
 import type { Clock } from '../../runtime/clock.js';
@@ -14,7 +14,7 @@
 export interface WeightVersionAnnouncement {
   readonly model: string;
   readonly version: number;
-  /** Time since the sender can have learned of it at the earliest, in milliseconds. */
+  /** Upper limit of the time since an operator named the version, in milliseconds. */
   readonly ageMs: number;
 }
 
--- a/test/gateway/group-heartbeats.test.ts
+++ b/test/gateway/group-heartbeats.test.ts
@@ -43,7 +43,7 @@
   t.deepEqual([...seen].sort(), members.slice(1).map(memberKey).sort());
 });
 
-test('a router applies reported heartbeats only of members that it knows', async (t) => {
+test('a router applies reported heartbeats of known members only', async (t) => {
   const members = membersUpTo(5);
   const clock = new VirtualClock();
   const sender = await heartbeatsOf(members, clock, 1);
--- a/test/gateway/relay-eras.test.ts
+++ b/test/gateway/relay-eras.test.ts
@@ -47,7 +47,7 @@
     mirror.all.map(({ name }) => name),
     ['thing-4'],
   );
-  // The restored store assigns a revision again that the requesting router knows already.
+  // The restored store assigns a revision again that the requesting router has already received.
   const later = { object: thing(9, 2), isGone: false };
   mirror.applyChanges([later], positionAt(9, 2), elapsedAt(200));
   t.is(mirror.changesAfter(positionAt(7, 1)), undefined);
--- a/test/gateway/store-outage.test.ts
+++ b/test/gateway/store-outage.test.ts
@@ -65,7 +65,7 @@
   await harness.clock.advance(CALM_MS);
   const during = harness.store.calls - beforeOutage;
   // Each reader retries twice a second, and so does one other router on average.
-  t.true(during <= 3 * calm && during <= 60, `${during} calls, ${calm} while calm`);
+  t.true(during <= 3 * calm && during <= 60, `${during} calls, ${calm} before the outage`);
   harness.store.isBusy = false;
   const beforeReturn = harness.store.calls;
   await harness.clock.advance(2_000);
--- a/test/gateway/store-relay.test.ts
+++ b/test/gateway/store-relay.test.ts
@@ -58,7 +58,7 @@
   t.is(harness.calls[1], 0);
 });
 
-test('a query is answered within its wait even if the proof is renewed meanwhile', async (t) => {
+test('a query gets a response within its wait even if the proof is renewed meanwhile', async (t) => {
   const clock = new VirtualClock();
   const mirrors = new ObjectMirrors();
   const server = new RelayServer(mirrors, SETTINGS.maximumProofAgeMs, clock);
@@ -94,7 +94,7 @@
   await clock.advance(200);
   mirror.applyChanges([], positionAt(5), clock.elapsed());
   await clock.advance(2_000);
-  t.true(answeredMs - askedMs <= 600, `answered after ${answeredMs - askedMs} ms`);
+  t.true(answeredMs - askedMs <= 600, `response after ${answeredMs - askedMs} ms`);
 });
 
 test('a query for a position ahead of the mirror is held until the mirror has caught up', async (t) => {
