--- a/src/coordination/gateway/directory.ts
+++ b/src/coordination/gateway/directory.ts
@@ -50,13 +50,13 @@
     this.statistics.directoryAnswers += 1;
     const selectedAddresses = new Set(addresses);
     const returned = candidates.filter(({ peerAddress }) => selectedAddresses.has(peerAddress));
-    const silences = returned.map(({ nodeId }) => this.group.heartbeatAgeMs(nodeId));
+    const agesMs = returned.map(({ nodeId }) => this.group.heartbeatAgeMs(nodeId));
     this.logger.info('directory_answered', {
       zone: location.zone,
       named: returned.length,
       responding: candidates.length,
       working: this.group.working.length,
-      longest_silence_ms: silences.length > 0 ? Math.round(Math.max(...silences)) : undefined,
+      longest_silence_ms: agesMs.length > 0 ? Math.round(Math.max(...agesMs)) : undefined,
     });
   }
 }
--- a/src/coordination/gateway/engine-crash-detector.ts
+++ b/src/coordination/gateway/engine-crash-detector.ts
@@ -61,10 +61,10 @@
     if (!mayBeCrash) return;
     const brokenMs = this.parts.clock.wallNow();
     const broken = { fingerprint, sentMs: brokenMs - ranMs, brokenMs };
-    const finding = this.crashes.recordBrokenRequest(engineId, broken);
-    if (finding === BrokenRequestAction.Crashed)
+    const action = this.crashes.recordBrokenRequest(engineId, broken);
+    if (action === BrokenRequestAction.Crashed)
       this.onCrash({ engineId, fingerprints: [fingerprint] });
-    if (finding !== BrokenRequestAction.NeedsCheck || !engine) return;
+    if (action !== BrokenRequestAction.NeedsCheck || !engine) return;
     const { address } = engine.record;
     this.parts.clock.setTimer(CHECK_DELAY_MS, () => void this.check(engineId, address));
   }
--- a/src/coordination/gateway/followed-kinds.ts
+++ b/src/coordination/gateway/followed-kinds.ts
@@ -65,7 +65,7 @@
     {
       onList: (objects) => versionDiscovery.applyList(objects),
       onObject: (object, _proven, isRelayed) => versionDiscovery.applyChange(object, isRelayed),
-      onAnswer: (proven, isRelayed) => versionDiscovery.recordResponse(proven, isRelayed),
+      onResponse: (proven, isRelayed) => versionDiscovery.recordResponse(proven, isRelayed),
       onFailure: () => versionDiscovery.noteFailure(),
     },
   );
--- a/src/coordination/gateway/gateway-node.ts
+++ b/src/coordination/gateway/gateway-node.ts
@@ -263,7 +263,7 @@
           if (applied.length === 0) this.configuration.noteMissing();
         },
         onObject: (object, proven) => void this.applyConfiguration(object, proven),
-        onAnswer: (proven) => this.configuration.recordProof(proven),
+        onResponse: (proven) => this.configuration.recordProof(proven),
       },
       engineList: this.listed.list,
       malformedEntries: this.listed.malformedEntries,
--- a/src/coordination/gateway/group-change-log.ts
+++ b/src/coordination/gateway/group-change-log.ts
@@ -19,14 +19,14 @@
     this.statuses = new Map(members.map(({ nodeId, status }) => [nodeId, status]));
     const named = (status: MemberStatus): string | undefined =>
       joinNames(changed.filter((member) => member.status === status));
-    const silences = changed.map(({ nodeId }) => heartbeatAgeMs(nodeId)).filter(Number.isFinite);
+    const agesMs = changed.map(({ nodeId }) => heartbeatAgeMs(nodeId)).filter(Number.isFinite);
     this.logger.info('group_changed', {
       working: members.filter(isWorking).length,
       known: members.length,
       suspected: named(MemberStatus.Suspect),
       dead: named(MemberStatus.Dead),
       leaving: named(MemberStatus.Leaving),
-      longest_silence_ms: silences.length > 0 ? Math.round(Math.max(...silences)) : undefined,
+      longest_silence_ms: agesMs.length > 0 ? Math.round(Math.max(...agesMs)) : undefined,
     });
   }
 }
--- a/src/coordination/gateway/load-command-sender.ts
+++ b/src/coordination/gateway/load-command-sender.ts
@@ -111,11 +111,11 @@
     this.parts.health.noteLoading(id, this.now);
     this.parts.statistics.orders += 1;
     const { holder } = this.settings;
-    const order = { model, version, holder, fencingToken, expectedSequence };
+    const request = { model, version, holder, fencingToken, expectedSequence };
     this.handleResult(
       engine,
-      order,
-      await this.parts.engines.sendLoadCommand(engine.record, order),
+      request,
+      await this.parts.engines.sendLoadCommand(engine.record, request),
     );
   }
 
@@ -157,9 +157,13 @@
     return this.parts.registry.find(engine.record.id) !== undefined;
   }
 
-  private handleResult(engine: Engine, order: LoadCommandRequest, result: LoadCommandResult): void {
+  private handleResult(
+    engine: Engine,
+    request: LoadCommandRequest,
+    result: LoadCommandResult,
+  ): void {
     const { id } = engine.record;
-    const { model, version, expectedSequence, fencingToken } = order;
+    const { model, version, expectedSequence, fencingToken } = request;
     this.parts.logger.info('weights_ordered', {
       engine: id,
       model,
@@ -186,7 +190,7 @@
     if (result.kind === 'already-done') this.finishCommand(engine, model, version);
     if (result.kind === 'rejected') this.abandonCommand(id);
     if (result.kind === 'replaced') this.noteReplaced(id);
-    if (result.kind === 'unknown') void this.resolveUnanswered(engine, order);
+    if (result.kind === 'unknown') void this.resolveUnconfirmed(engine, request);
   }
 
   /** Marks an engine as replaced: an outdated list still contains it, but it is unreachable. */
@@ -211,9 +215,9 @@
    * may never receive it. If it wasn't accepted, the next command uses the same sequence number, so
    * that only one of them is executed.
    */
-  private async resolveUnanswered(engine: Engine, order: LoadCommandRequest): Promise<void> {
-    const state = await this.stateOf(engine, order.model);
-    const isAccepted = state && (state.isBusy || state.orderSequence > order.expectedSequence);
+  private async resolveUnconfirmed(engine: Engine, request: LoadCommandRequest): Promise<void> {
+    const state = await this.stateOf(engine, request.model);
+    const isAccepted = state && (state.isBusy || state.orderSequence > request.expectedSequence);
     if (!isAccepted) this.abandonCommand(engine.record.id);
   }
 
--- a/src/coordination/gateway/object-follower.ts
+++ b/src/coordination/gateway/object-follower.ts
@@ -31,7 +31,7 @@
   /** A response contained items without a readable key; its other items are valid. */
   onUnnamed(items: number, position: StorePosition): void;
   /** A call succeeded, with or without changes, at the store or at another router. */
-  onAnswer(proven: ElapsedInstant, isRelayed: boolean): void;
+  onResponse(proven: ElapsedInstant, isRelayed: boolean): void;
   /** A call failed. */
   onFailure(): void;
   /** The store has lost its history, so other pending watches may never return changes. */
@@ -132,7 +132,7 @@
   private async step(): Promise<void> {
     const { position: requestedPosition } = this;
     if (requestedPosition === undefined) return this.listFirst();
-    const { kind, watchMs, batchDelayMs: gatherMs } = this.settings;
+    const { kind, watchMs, batchDelayMs } = this.settings;
     const callStart = this.clock.elapsed();
     const result = await this.store.watch(kind, requestedPosition, watchMs);
     if (this.isStopped || this.position !== requestedPosition) return;
@@ -153,8 +153,8 @@
     }
     this.reportUnnamedItems(result);
     this.advanceTo(requestedPosition.later(result.position));
-    this.events.onAnswer(proven, isRelayed);
-    if (result.events.length > 0 && gatherMs > 0) await sleep(this.clock, gatherMs);
+    this.events.onResponse(proven, isRelayed);
+    if (result.events.length > 0 && batchDelayMs > 0) await sleep(this.clock, batchDelayMs);
   }
 
   /** Lists the kind while no position is known. */
@@ -181,7 +181,7 @@
     const proven = list.proven ?? callStart;
     this.reportUnnamedItems(list);
     this.events.onList(list.objects, proven);
-    this.events.onAnswer(proven, list.isRelayed ?? false);
+    this.events.onResponse(proven, list.isRelayed ?? false);
   }
 
   /** Logs a new era; a restored store's state is current even if it is older than the one seen. */
--- a/src/coordination/gateway/store-followers.ts
+++ b/src/coordination/gateway/store-followers.ts
@@ -17,7 +17,7 @@
   /** A response contained items without a readable key. */
   onUnnamed?(items: number, position: StorePosition): void;
   /** A call succeeded; the state was current at `proven`. */
-  onAnswer?(proven: ElapsedInstant, isRelayed: boolean): void;
+  onResponse?(proven: ElapsedInstant, isRelayed: boolean): void;
   onFailure?(): void;
   /** The store was restored from an older copy; the next list contains the restored state. */
   onRestored?(): void;
@@ -85,9 +85,9 @@
         onObject: (object, proven, isRelayed) => handlers.onObject(object, proven, isRelayed),
         onRemoved: (name, position) => handlers.onRemoved?.(name, position),
         onUnnamed: (items, position) => handlers.onUnnamed?.(items, position),
-        onAnswer: (proven, isRelayed) => {
+        onResponse: (proven, isRelayed) => {
           this.outages.recordResponse(clock.now());
-          handlers.onAnswer?.(proven, isRelayed);
+          handlers.onResponse?.(proven, isRelayed);
         },
         onFailure: () => {
           this.outages.recordFailure(clock.now());
--- a/src/coordination/gateway/store-relay/relay-client.ts
+++ b/src/coordination/gateway/store-relay/relay-client.ts
@@ -138,12 +138,12 @@
       this.close('malformed response');
       return;
     }
-    const { answer } = message;
-    const query = this.pending.get(answer.number);
+    const { answer: response } = message;
+    const query = this.pending.get(response.number);
     if (!query) return;
-    this.pending.delete(answer.number);
+    this.pending.delete(response.number);
     query.timer.cancel();
-    query.resolve(answer);
+    query.resolve(response);
   }
 
   private failure(reason: string): ProtocolFailure {
--- a/src/coordination/gateway/store-relay/relay-server.ts
+++ b/src/coordination/gateway/store-relay/relay-server.ts
@@ -63,7 +63,7 @@
     this.batchedKinds.add(kind);
     this.clock.setTimer(BATCH_DELAY_MS, () => {
       this.batchedKinds.delete(kind);
-      for (const held of [...(this.held.get(kind) ?? [])]) this.answerIfChanged(held);
+      for (const held of [...(this.held.get(kind) ?? [])]) this.respondIfChanged(held);
     });
   }
 
@@ -86,7 +86,7 @@
       isAwaitingProof: !this.mirrors.of(query.kind).isProven,
       timer: undefined,
     };
-    if (query.position === undefined) this.answerWithAll(held);
+    if (query.position === undefined) this.respondWithAll(held);
     else this.hold(held);
   }
 
@@ -98,8 +98,8 @@
     const untilOutdatedMs = this.maximumProofAgeMs - mirror.proofAgeMs(now);
     const limitMs = held.isAwaitingProof ? MAXIMUM_HOLD_MS : untilOutdatedMs;
     const holdMs = Math.min(remainingMs, MAXIMUM_HOLD_MS, limitMs);
-    if (this.isAnswerable(held, mirror) || holdMs <= 0) {
-      this.answerWithChanges(held);
+    if (this.canRespond(held, mirror) || holdMs <= 0) {
+      this.respondWithChanges(held);
       return;
     }
     let waiting = this.held.get(kind);
@@ -119,36 +119,36 @@
     const remainingMs = waitMs - now.since(held.receivedAt);
     const isFresh = this.mirrors.of(kind).proofAgeMs(now) < this.maximumProofAgeMs;
     if (remainingMs > 1 && isFresh) this.hold({ ...held, timer: undefined });
-    else this.answerWithChanges(held);
+    else this.respondWithChanges(held);
   }
 
-  private answerIfChanged(held: HeldQuery): void {
-    if (!this.isAnswerable(held, this.mirrors.of(held.query.kind))) return;
+  private respondIfChanged(held: HeldQuery): void {
+    if (!this.canRespond(held, this.mirrors.of(held.query.kind))) return;
     this.release(held);
-    this.answerWithChanges(held);
+    this.respondWithChanges(held);
   }
 
-  private isAnswerable(held: HeldQuery, mirror: ObjectMirror): boolean {
+  private canRespond(held: HeldQuery, mirror: ObjectMirror): boolean {
     if (held.isAwaitingProof) return mirror.isProven;
     // A mirror behind the requested position may catch up while the query is held.
     return mirror.changesAfter(positionOf(held))?.length !== 0;
   }
 
-  private answerWithChanges(held: HeldQuery): void {
+  private respondWithChanges(held: HeldQuery): void {
     const mirror = this.mirrors.of(held.query.kind);
     const position = positionOf(held);
     // A mirror behind the requested position proves nothing.
     const isBehind = mirror.position.isBefore(position);
-    this.answer(held, mirror, isBehind ? undefined : mirror.changesAfter(position));
+    this.respond(held, mirror, isBehind ? undefined : mirror.changesAfter(position));
   }
 
-  private answerWithAll(held: HeldQuery): void {
+  private respondWithAll(held: HeldQuery): void {
     const mirror = this.mirrors.of(held.query.kind);
     const events = mirror.all.map((object) => ({ object, isGone: false }));
-    this.answer(held, mirror, mirror.isFilled ? events : undefined);
+    this.respond(held, mirror, mirror.isFilled ? events : undefined);
   }
 
-  private answer(
+  private respond(
     { query, connection, receivedAt }: HeldQuery,
     mirror: ObjectMirror,
     events: readonly ObjectEvent[] | undefined,
--- a/src/coordination/gateway/weight-coordinator.ts
+++ b/src/coordination/gateway/weight-coordinator.ts
@@ -49,7 +49,7 @@
 
 const TICK_MS = 100;
 /** Time window over which the rate of version changes is computed. */
-const NAMES_SPAN_MS = 20_000;
+const VERSION_RATE_WINDOW_MS = 20_000;
 
 /** Plans rollouts and, while this router holds the lease, sends load commands. */
 export class WeightCoordinator {
@@ -225,7 +225,7 @@
     const { versions, requestRate } = this.parts;
     const requestsPerSecond =
       requestRate.perSecond(model, this.now) / this.settings.shareOfTraffic();
-    const namesPerSecond = versions.publicationsPerSecond(model, NAMES_SPAN_MS, this.now);
+    const namesPerSecond = versions.publicationsPerSecond(model, VERSION_RATE_WINDOW_MS, this.now);
     return { requestsPerSecond, namesPerSecond };
   }
 }
--- a/test/gateway/engine-incarnations.test.ts
+++ b/test/gateway/engine-incarnations.test.ts
@@ -312,7 +312,7 @@
 test('the acceptance of a load command by another incarnation is not applied', async (t) => {
   const harness = coordinatorHarness({
     startedAtMs: FIRST_MS,
-    order: () => Promise.resolve({ kind: 'accepted', startedAtMs: SECOND_MS }),
+    sendLoadCommand: () => Promise.resolve({ kind: 'accepted', startedAtMs: SECOND_MS }),
   });
   while (harness.loadCommands.length === 0) await harness.clock.advance(10);
   const present = harness.registry.findByName(NAME);
@@ -327,7 +327,7 @@
   let respond: (result: { kind: 'accepted' }) => void = () => undefined;
   const harness = coordinatorHarness({
     startedAtMs: FIRST_MS,
-    order: () => new Promise((resolve) => (respond = resolve)),
+    sendLoadCommand: () => new Promise((resolve) => (respond = resolve)),
   });
   while (harness.loadCommands.length === 0) await harness.clock.advance(50);
   harness.incarnations.applyEntry(engineRecord(NAME, SECOND_MS));
--- a/test/gateway/load-command-announcement.test.ts
+++ b/test/gateway/load-command-announcement.test.ts
@@ -3,10 +3,10 @@
 import { ANNOUNCEMENT_MS, coordinatorHarness } from '../helpers/coordinator-harness.js';
 
 test('a load command is sent one announcement time after its announcement', async (t) => {
-  const { clock, coordinator, health, announcedMs, orderedMs } = coordinatorHarness();
+  const { clock, coordinator, health, announcedMs, sentMs } = coordinatorHarness();
   await clock.advance(1_200);
-  t.is(orderedMs.length, 1);
-  t.true((orderedMs[0] ?? 0) - (announcedMs[0] ?? Infinity) >= ANNOUNCEMENT_MS);
+  t.is(sentMs.length, 1);
+  t.true((sentMs[0] ?? 0) - (announcedMs[0] ?? Infinity) >= ANNOUNCEMENT_MS);
   t.true(health.isLoading('engine-0', clock.now()));
   coordinator.stop();
 });
@@ -19,20 +19,20 @@
 });
 
 test('no load command is sent if the lease was lost after the announcement', async (t) => {
-  const { clock, coordinator, lease, health, announcedMs, orderedMs } = coordinatorHarness();
+  const { clock, coordinator, lease, health, announcedMs, sentMs } = coordinatorHarness();
   while (announcedMs.length === 0) await clock.advance(10);
   lease.activeToken = undefined;
   await clock.advance(ANNOUNCEMENT_MS + 50);
-  t.deepEqual(orderedMs, []);
+  t.deepEqual(sentMs, []);
   t.false(health.isLoading('engine-0', clock.now()));
   coordinator.stop();
 });
 
 test('a router that leaves after its announcement sends no load command', async (t) => {
-  const { clock, coordinator, announcedMs, orderedMs } = coordinatorHarness();
+  const { clock, coordinator, announcedMs, sentMs } = coordinatorHarness();
   while (announcedMs.length === 0) await clock.advance(10);
   coordinator.leave();
   await clock.advance(1_000);
-  t.deepEqual(orderedMs, []);
+  t.deepEqual(sentMs, []);
   coordinator.stop();
 });
--- a/test/gateway/relay-eras.test.ts
+++ b/test/gateway/relay-eras.test.ts
@@ -24,8 +24,9 @@
 }
 
 /** Queries whose responses are all the same. */
-function queriesWithResponse(answer: Omit<RelayResponse, 'number' | 'heldMs'>): PeerQueries {
-  const query = (): Promise<RelayResponse> => Promise.resolve({ ...answer, number: 1, heldMs: 0 });
+function queriesWithResponse(response: Omit<RelayResponse, 'number' | 'heldMs'>): PeerQueries {
+  const query = (): Promise<RelayResponse> =>
+    Promise.resolve({ ...response, number: 1, heldMs: 0 });
   const client = { query } as unknown as RelayClient;
   return new PeerQueries(client, SETTINGS.maximumProofAgeMs, new VirtualClock());
 }
@@ -103,13 +104,13 @@
 });
 
 test('a list with an era is preferred over one without, whatever the revisions', async (t) => {
-  const answers = [positionAt(3, 1), new StorePosition(StoreEra.Unknown, 90)];
+  const positions = [positionAt(3, 1), new StorePosition(StoreEra.Unknown, 90)];
   const client = {
     query: (): Promise<Omit<RelayResponse, 'number' | 'heldMs'>> =>
       Promise.resolve({
         isKnown: true,
         events: [],
-        position: answers.shift() as StorePosition,
+        position: positions.shift() as StorePosition,
         proofAgeMs: 5,
       }),
   } as unknown as RelayClient;
@@ -122,10 +123,10 @@
   const head = { number: 1, isKnown: true, proofAgeMs: 1, heldMs: 1 };
   for (const era of [StoreEra.Unknown, StoreEra.None, 1, 7]) {
     const position = new StorePosition(era, 40);
-    const answer = decodeRelayFrame(encodeRelayResponse({ ...head, position }, NO_CHANGES));
-    t.like(answer, { kind: 'answer', answer: { position } });
-    const asked = { number: 1, kind: KIND, position, waitMs: 1, acceptsDeflated: true };
-    t.like(decodeRelayFrame(encodeRelayQuery(asked)), { kind: 'query', query: { position } });
+    const response = decodeRelayFrame(encodeRelayResponse({ ...head, position }, NO_CHANGES));
+    t.like(response, { kind: 'answer', answer: { position } });
+    const query = { number: 1, kind: KIND, position, waitMs: 1, acceptsDeflated: true };
+    t.like(decodeRelayFrame(encodeRelayQuery(query)), { kind: 'query', query: { position } });
   }
 });
 
--- a/test/gateway/store-outage.test.ts
+++ b/test/gateway/store-outage.test.ts
@@ -27,7 +27,7 @@
   harness.store.put(KIND, 'first', { value: 1 });
   const proofs = harness.stores.map(() => ElapsedInstant.never);
   for (const [index, store] of harness.stores.entries()) {
-    const noteAnswer = (proven: ElapsedInstant): void => {
+    const recordProof = (proven: ElapsedInstant): void => {
       proofs[index] = proven.later(proofs[index] ?? ElapsedInstant.never);
     };
     const follower = new ObjectFollower(
@@ -40,7 +40,7 @@
       },
       store,
       noopFollowerEvents({
-        onAnswer: noteAnswer,
+        onResponse: recordProof,
       }),
       harness.hosts[index] as HostClock,
       new SeededRandom(500 + index),
@@ -56,16 +56,19 @@
 
 test('a large group makes a bounded number of calls to a store that rejects all requests', async (t) => {
   const { harness, oldestProofAgeMs } = await followedGroup(60);
-  const CALM_MS = 5_000;
-  const beforeCalm = harness.store.calls;
-  await harness.clock.advance(CALM_MS);
-  const calm = harness.store.calls - beforeCalm;
+  const SPAN_MS = 5_000;
+  const callsAtStart = harness.store.calls;
+  await harness.clock.advance(SPAN_MS);
+  const normalCalls = harness.store.calls - callsAtStart;
   harness.store.isBusy = true;
   const beforeOutage = harness.store.calls;
-  await harness.clock.advance(CALM_MS);
+  await harness.clock.advance(SPAN_MS);
   const during = harness.store.calls - beforeOutage;
   // Each reader retries twice a second, and so does one other router on average.
-  t.true(during <= 3 * calm && during <= 60, `${during} calls, ${calm} before the outage`);
+  t.true(
+    during <= 3 * normalCalls && during <= 60,
+    `${during} calls, ${normalCalls} before the outage`,
+  );
   harness.store.isBusy = false;
   const beforeReturn = harness.store.calls;
   await harness.clock.advance(2_000);
--- a/test/gateway/store-relay.test.ts
+++ b/test/gateway/store-relay.test.ts
@@ -65,12 +65,12 @@
   const mirror = mirrors.of(KIND);
   mirror.applyList([], positionAt(5), clock.elapsed());
   await clock.advance(1_000);
-  let answeredMs = Infinity;
+  let respondedMs = Infinity;
   let receive: (frame: Uint8Array) => void = () => undefined;
   const connection = {
     remoteAddress: 'asker:7000',
     send: () => {
-      answeredMs = clock.now();
+      respondedMs = clock.now();
       return true;
     },
     onFrame: (handler: (frame: Uint8Array) => void) => {
@@ -81,7 +81,7 @@
     destroy: () => undefined,
   };
   server.accept(connection as unknown as FrameConnection);
-  const askedMs = clock.now();
+  const queriedMs = clock.now();
   receive(
     encodeRelayQuery({
       number: 1,
@@ -94,7 +94,7 @@
   await clock.advance(200);
   mirror.applyChanges([], positionAt(5), clock.elapsed());
   await clock.advance(2_000);
-  t.true(answeredMs - askedMs <= 600, `response after ${answeredMs - askedMs} ms`);
+  t.true(respondedMs - queriedMs <= 600, `response after ${respondedMs - queriedMs} ms`);
 });
 
 test('a query for a position ahead of the mirror is held until the mirror has caught up', async (t) => {
@@ -103,12 +103,12 @@
   const server = new RelayServer(mirrors, SETTINGS.maximumProofAgeMs, clock);
   const mirror = mirrors.of(KIND);
   mirror.applyList([], positionAt(5), clock.elapsed());
-  const answers: RelayMessage[] = [];
+  const responses: RelayMessage[] = [];
   let receive: (frame: Uint8Array) => void = () => undefined;
   const connection = {
     send: (frame: Uint8Array) => {
       const message = decodeRelayFrame(frame);
-      if (message) answers.push(message);
+      if (message) responses.push(message);
       return true;
     },
     onFrame: (handler: (frame: Uint8Array) => void) => {
@@ -121,12 +121,12 @@
   const query = { number: 1, kind: KIND, position: positionAt(7), waitMs: 600 };
   receive(encodeRelayQuery({ ...query, acceptsDeflated: true }));
   await clock.advance(300);
-  t.is(answers.length, 0);
+  t.is(responses.length, 0);
   const object = { name: 'thing', position: positionAt(8), spec: 1 };
   mirror.applyChanges([{ object, isGone: false }], positionAt(8), clock.elapsed());
   server.notifyChange(KIND);
   await clock.advance(100);
-  t.like(answers[0], { answer: { isKnown: true, events: { 0: { object } } } });
+  t.like(responses[0], { answer: { isKnown: true, events: { 0: { object } } } });
 });
 
 test('a follower receives a removal through its reader', async (t) => {
--- a/test/gateway/weight-handover.test.ts
+++ b/test/gateway/weight-handover.test.ts
@@ -16,8 +16,8 @@
   simulation.publishWeights();
   for (let spentMs = 0; spentMs < DEADLINE_MS; spentMs += STEP_MS) {
     await simulation.clock.advance(STEP_MS);
-    const order = simulation.observations.loadCommands[before];
-    if (order) return Number(order.holder.at(-1));
+    const command = simulation.observations.loadCommands[before];
+    if (command) return Number(command.holder.at(-1));
   }
   throw new Error('no load command was sent');
 }
--- a/test/helpers/coordinator-harness.ts
+++ b/test/helpers/coordinator-harness.ts
@@ -32,7 +32,7 @@
   readonly startedAtMs?: number;
   readonly isKnownService?: boolean;
   state?(): Partial<WeightState>;
-  order?(): Promise<LoadCommandResult>;
+  sendLoadCommand?(): Promise<LoadCommandResult>;
 }
 
 /** Creates and starts a coordinator that holds the lease, with one engine with outdated weights. */
@@ -58,14 +58,14 @@
     advance: () => Promise.resolve(),
   };
   const announcedMs: number[] = [];
-  const orderedMs: number[] = [];
+  const sentMs: number[] = [];
   const loadCommands: LoadCommandRequest[] = [];
   const engines = {
     readWeightState: () => Promise.resolve({ ...STATE, ...options.state?.() }),
     sendLoadCommand: (_endpoint: unknown, command: LoadCommandRequest) => {
-      orderedMs.push(clock.now());
+      sentMs.push(clock.now());
       loadCommands.push(command);
-      return options.order?.() ?? Promise.resolve({ kind: 'accepted' as const });
+      return options.sendLoadCommand?.() ?? Promise.resolve({ kind: 'accepted' as const });
     },
   };
   const health = new EngineHealth();
@@ -112,7 +112,7 @@
     lease,
     health,
     announcedMs,
-    orderedMs,
+    sentMs,
     loadCommands,
     restarts,
   };
