--- a/test/helpers/crash-announcement-harness.ts
+++ b/test/helpers/crash-announcement-harness.ts
@@ -49,7 +49,7 @@
         takeCrashAnnouncements: () => guard.takeAnnouncements(),
         onCrashAnnouncements: (announcements, isRelayed) => guard.receive(announcements, isRelayed),
       }),
-      get hasCrashNews(): boolean {
+      get hasCrashAnnouncements(): boolean {
         return guard.hasAnnouncements;
       },
     };
