--- a/test/gateway/entry-lapse.test.ts
+++ b/test/gateway/entry-lapse.test.ts
@@ -45,11 +45,11 @@
     await simulation.clock.advance(STEP_MS);
   }
   await simulation.settle();
-  const refused = simulation.requests
+  const rejectedRequests = simulation.requests
     .slice(first)
     .filter((request) => request.reply.status !== 200);
   t.deepEqual(
-    refused.map((request) => request.reply.own),
+    rejectedRequests.map((request) => request.reply.own),
     [],
   );
 });
--- a/test/gateway/object-follower.test.ts
+++ b/test/gateway/object-follower.test.ts
@@ -92,10 +92,10 @@
   const follower = followerOf(store, clock, seen, () => undefined);
   follower.start();
   await clock.advance(10);
-  let answerList: (() => void) | undefined;
+  let resolveList: (() => void) | undefined;
   store.list = () =>
     new Promise((resolve) => {
-      answerList = () => {
+      resolveList = () => {
         const position = positionAt(2);
         resolve({ objects: [{ name: 'object', position, spec: 'old' }], position });
       };
@@ -105,7 +105,7 @@
   const object = { name: 'object', position, spec: 'new' };
   store.watches[0]?.end({ kind: 'events', events: [{ object, isGone: false }], position });
   await clock.advance(10);
-  answerList?.();
+  resolveList?.();
   await refresh;
   t.deepEqual(seen, [1, 'new']);
   follower.stop();
--- a/test/gateway/relay-eras.test.ts
+++ b/test/gateway/relay-eras.test.ts
@@ -132,12 +132,12 @@
 
 test('a router without a connection to a restored store gets its state from another router', async (t) => {
   const harness = await RelayHarness.create(2, { ...SETTINGS, directGroupSize: 5 });
-  const [other, cut] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
+  const [other, disconnected] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
   harness.store.put(KIND, 'first', 1);
   const copiedMs = harness.clock.now();
   await harness.clock.advance(100);
   harness.store.put(KIND, 'first', 2);
-  const before = await harness.run(cut.list(KIND, ListFreshness.Current));
+  const before = await harness.run(disconnected.list(KIND, ListFreshness.Current));
   if (before instanceof Error) return t.fail(before.message);
   harness.store.unreachableFor.add('node-1');
   harness.store.restore(copiedMs);
@@ -145,8 +145,8 @@
   const restored = await harness.run(other.list(KIND, ListFreshness.Current));
   if (restored instanceof Error) return t.fail(restored.message);
   void watchForever(other, restored.position);
-  const result = await harness.run(cut.watch(KIND, before.position, 600));
+  const result = await harness.run(disconnected.watch(KIND, before.position, 600));
   t.deepEqual(result, { kind: 'history-gone' });
-  const list = await harness.run(cut.list(KIND, ListFreshness.Current));
+  const list = await harness.run(disconnected.list(KIND, ListFreshness.Current));
   t.like(list, { isRelayed: true, position: restored.position, objects: { 0: { spec: 1 } } });
 });
--- a/test/gateway/store-order.test.ts
+++ b/test/gateway/store-order.test.ts
@@ -47,17 +47,17 @@
 });
 
 test('the removal of an object is not repeated after it was created again', (t) => {
-  const back: StoredObject = {
+  const recreated: StoredObject = {
     name: 'engine-1',
     position: positionAt(11),
     spec: { isDraining: false },
   };
   const mirror = new ObjectMirror();
-  mirror.applyList([back], positionAt(11), elapsedAt(0));
+  mirror.applyList([recreated], positionAt(11), elapsedAt(0));
   // A watch that started at revision 9 ends after the list.
   const events = [
     { object: READY, isGone: true },
-    { object: back, isGone: false },
+    { object: recreated, isGone: false },
   ];
   mirror.applyChanges(events, positionAt(12), elapsedAt(100));
   t.deepEqual(mirror.changesAfter(positionAt(11)), []);
@@ -108,7 +108,7 @@
     [{ kind: 'history-gone' }],
   );
   const clock = new VirtualClock();
-  const taken: (readonly StoredObject[])[] = [];
+  const appliedLists: (readonly StoredObject[])[] = [];
   const follower = new ObjectFollower(
     {
       kind: 'engines',
@@ -119,7 +119,7 @@
     },
     store,
     noopFollowerEvents({
-      onList: (objects) => taken.push(objects),
+      onList: (objects) => appliedLists.push(objects),
     }),
     clock,
     new SeededRandom(1),
@@ -127,7 +127,7 @@
   );
   follower.start();
   await clock.advance(2_000);
-  t.deepEqual(taken, [[DRAINING], [DRAINING]]);
+  t.deepEqual(appliedLists, [[DRAINING], [DRAINING]]);
 });
 
 test('a drained engine gets no work after an older entry of it was received', (t) => {
@@ -149,11 +149,11 @@
   await harness.run(reader.list(KIND, ListFreshness.Current));
   const before = new StorePosition(harness.store.era, harness.store.revision);
   harness.store.listDelaysMs.push(300);
-  const overtaken = reader.list(KIND, ListFreshness.Current);
+  const outdatedList = reader.list(KIND, ListFreshness.Current);
   await harness.clock.advance(10);
   harness.store.put(KIND, 'engine-1', { isDraining: true });
   await harness.run(reader.watch(KIND, before, 600));
-  await harness.run(overtaken);
+  await harness.run(outdatedList);
   await harness.run(
     reader.watch(KIND, new StorePosition(harness.store.era, harness.store.revision), 600),
   );
--- a/test/gateway/store-relay.test.ts
+++ b/test/gateway/store-relay.test.ts
@@ -68,7 +68,7 @@
   let respondedMs = Infinity;
   let receive: (frame: Uint8Array) => void = () => undefined;
   const connection = {
-    remoteAddress: 'asker:7000',
+    remoteAddress: 'requester:7000',
     send: () => {
       respondedMs = clock.now();
       return true;
--- a/test/gateway/suspended-machine.test.ts
+++ b/test/gateway/suspended-machine.test.ts
@@ -106,14 +106,14 @@
 
 test('elapsed time is monotonic and never less than the real time for jumps of the minimum length or more', (t) => {
   const property = fc.property(fc.array(anyEvent, { maxLength: 40 }), (events) => {
-    let steadyMs = 0;
+    let monotonicMs = 0;
     let wallMs = 1_000_000;
-    const sources: TimeSources = { monotonicMs: () => steadyMs, wallMs: () => wallMs };
+    const sources: TimeSources = { monotonicMs: () => monotonicMs, wallMs: () => wallMs };
     const meter = new SuspensionMeter(sources, () => undefined);
     let passedMs = 0;
     let lastMs = meter.elapsedMs();
     for (const { kind, ms } of events) {
-      if (kind !== 'suspended') steadyMs += kind === 'run' ? ms : 0;
+      if (kind !== 'suspended') monotonicMs += kind === 'run' ? ms : 0;
       wallMs += ms;
       if (kind !== 'wall-set') passedMs += ms;
       const countedMs = meter.elapsedMs();
--- a/test/gateway/weight-outage.test.ts
+++ b/test/gateway/weight-outage.test.ts
@@ -61,10 +61,10 @@
     await simulation.clock.advance(STEP_MS);
   }
   await simulation.settle();
-  const refused = simulation.requests
+  const rejectedRequests = simulation.requests
     .slice(first)
     .filter((request) => request.reply.own?.reason === 'no-engine');
-  t.is(refused.length, 0);
+  t.is(rejectedRequests.length, 0);
   t.true(simulation.fleet.generationEngines.every((engine) => engine.weightsVersion === 2));
   t.deepEqual(findBreaches(simulation), []);
 });
@@ -72,17 +72,17 @@
 test('lease calls that the store rejects are repeated with increasing pauses', async (t) => {
   const clock = new VirtualClock();
   let calls = 0;
-  const refuse = (): Promise<never> => {
+  const rejectCall = (): Promise<never> => {
     calls += 1;
     return Promise.reject(new ProtocolFailure({ kind: 'rejected', status: 503, reason: 'read' }));
   };
   const store: ObjectStorePort = {
-    list: refuse,
-    watch: refuse,
-    read: refuse,
-    create: refuse,
-    replace: refuse,
-    remove: refuse,
+    list: rejectCall,
+    watch: rejectCall,
+    read: rejectCall,
+    create: rejectCall,
+    replace: rejectCall,
+    remove: rejectCall,
   };
   const eras = new StoreEras(true);
   const lease = new WeightLease({ holder: 'a', life: '1', leaseMs: 3_000, actMs: 500 }, eras);
