--- a/test/gateway/lease-after-restoration.test.ts
+++ b/test/gateway/lease-after-restoration.test.ts
@@ -65,7 +65,7 @@
   const store = new SimulatedObjectStore(clock);
   const holder = new Contender(store, clock, 'holder');
   await contend(clock, [holder], 2_000);
-  const [formerToken] = holder.tokens;
+  const [previousToken] = holder.tokens;
   const restoredMs = clock.now();
   store.restore(restoredMs - 1_000);
   holder.eras.observe(store.era, clock.now());
@@ -73,7 +73,7 @@
   await contend(clock, [holder], 1_000 + SUCCESSION_MS);
   const later = holder.actedMs.filter((atMs) => atMs > restoredMs);
   t.true((later[0] ?? 0) - restoredMs >= SUCCESSION_MS);
-  t.true(Math.max(...holder.tokens) > 2 * (formerToken ?? 0) - 2);
+  t.true(Math.max(...holder.tokens) > 2 * (previousToken ?? 0) - 2);
   t.is(holder.tokens.size, 2);
 });
 
@@ -110,13 +110,13 @@
   while (store.revision < revision + 1) store.put('others', 'any', store.revision);
   const second = { holder: 'second', life: 'second', fencingToken: 2 ** 21 + 1 };
   store.put(KIND, NAME, second);
-  const held = store.get(KIND, NAME)?.revision ?? 0;
+  const heldRevision = store.get(KIND, NAME)?.revision ?? 0;
   const lease = new WeightLease(
     { holder: 'first', life: 'first', leaseMs: LEASE_MS, actMs: ACT_MS },
     first.eras,
   );
   const record = { holder: 'first', life: 'first', fencingToken: 2 ** 20 + 1 };
-  lease.recordWrite({ record, position: new StorePosition(1, held) }, leaseTimeAt(0));
+  lease.recordWrite({ record, position: new StorePosition(1, heldRevision) }, leaseTimeAt(0));
   const port = new SimulatedStorePort(store, 'first', new HostClock(clock));
   const keeper = new LeaseKeeper(KIND, lease, first.eras, port, clock, new NoopLogger());
   const advancing = keeper.advance();
--- a/test/gateway/store-relay.test.ts
+++ b/test/gateway/store-relay.test.ts
@@ -213,7 +213,10 @@
       at = result.position;
       const provenMs = harness.clock.now() - harness.clock.elapsed().since(result.proven);
       const next = changedMs[at.revision - position.revision];
-      t.true(next === undefined || provenMs <= next, `position ${String(at)} proved after its end`);
+      t.true(
+        next === undefined || provenMs <= next,
+        `position ${String(at)} proven after it was replaced`,
+      );
     }
   });
   await fc.assert(property, { seed: 17, numRuns: 150 });
