--- a/test/gateway/relay-eras.test.ts
+++ b/test/gateway/relay-eras.test.ts
@@ -24,8 +24,9 @@
 }
 
 /** Queries whose responses are all the same. */
-function queriesWithResponse(answer: Omit<RelayResponse, 'number' | 'heldMs'>): PeerQueries {
-  const query = (): Promise<RelayResponse> => Promise.resolve({ ...answer, number: 1, heldMs: 0 });
+function queriesWithResponse(response: Omit<RelayResponse, 'number' | 'heldMs'>): PeerQueries {
+  const query = (): Promise<RelayResponse> =>
+    Promise.resolve({ ...response, number: 1, heldMs: 0 });
   const client = { query } as unknown as RelayClient;
   return new PeerQueries(client, SETTINGS.maximumProofAgeMs, new VirtualClock());
 }
@@ -47,7 +48,7 @@
     mirror.all.map(({ name }) => name),
     ['thing-4'],
   );
-  // The restored store assigns a revision again that the requesting router knows already.
+  // The restored store assigns a revision again that the requesting router has already received.
   const later = { object: thing(9, 2), isGone: false };
   mirror.applyChanges([later], positionAt(9, 2), elapsedAt(200));
   t.is(mirror.changesAfter(positionAt(7, 1)), undefined);
@@ -103,13 +104,13 @@
 });
 
 test('a list with an era is preferred over one without, whatever the revisions', async (t) => {
-  const answers = [positionAt(3, 1), new StorePosition(StoreEra.Unknown, 90)];
+  const positions = [positionAt(3, 1), new StorePosition(StoreEra.Unknown, 90)];
   const client = {
     query: (): Promise<Omit<RelayResponse, 'number' | 'heldMs'>> =>
       Promise.resolve({
         isKnown: true,
         events: [],
-        position: answers.shift() as StorePosition,
+        position: positions.shift() as StorePosition,
         proofAgeMs: 5,
       }),
   } as unknown as RelayClient;
@@ -122,21 +123,21 @@
   const head = { number: 1, isKnown: true, proofAgeMs: 1, heldMs: 1 };
   for (const era of [StoreEra.Unknown, StoreEra.None, 1, 7]) {
     const position = new StorePosition(era, 40);
-    const answer = decodeRelayFrame(encodeRelayResponse({ ...head, position }, NO_CHANGES));
-    t.like(answer, { kind: 'answer', answer: { position } });
-    const asked = { number: 1, kind: KIND, position, waitMs: 1, acceptsDeflated: true };
-    t.like(decodeRelayFrame(encodeRelayQuery(asked)), { kind: 'query', query: { position } });
+    const response = decodeRelayFrame(encodeRelayResponse({ ...head, position }, NO_CHANGES));
+    t.like(response, { kind: 'answer', answer: { position } });
+    const query = { number: 1, kind: KIND, position, waitMs: 1, acceptsDeflated: true };
+    t.like(decodeRelayFrame(encodeRelayQuery(query)), { kind: 'query', query: { position } });
   }
 });
 
 test('a router without a connection to a restored store gets its state from another router', async (t) => {
   const harness = await RelayHarness.create(2, { ...SETTINGS, directGroupSize: 5 });
-  const [other, cut] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
+  const [other, disconnected] = harness.stores as [RelayedObjectStore, RelayedObjectStore];
   harness.store.put(KIND, 'first', 1);
   const copiedMs = harness.clock.now();
   await harness.clock.advance(100);
   harness.store.put(KIND, 'first', 2);
-  const before = await harness.run(cut.list(KIND, ListFreshness.Current));
+  const before = await harness.run(disconnected.list(KIND, ListFreshness.Current));
   if (before instanceof Error) return t.fail(before.message);
   harness.store.unreachableFor.add('node-1');
   harness.store.restore(copiedMs);
@@ -144,8 +145,8 @@
   const restored = await harness.run(other.list(KIND, ListFreshness.Current));
   if (restored instanceof Error) return t.fail(restored.message);
   void watchForever(other, restored.position);
-  const result = await harness.run(cut.watch(KIND, before.position, 600));
+  const result = await harness.run(disconnected.watch(KIND, before.position, 600));
   t.deepEqual(result, { kind: 'history-gone' });
-  const list = await harness.run(cut.list(KIND, ListFreshness.Current));
+  const list = await harness.run(disconnected.list(KIND, ListFreshness.Current));
   t.like(list, { isRelayed: true, position: restored.position, objects: { 0: { spec: 1 } } });
 });
