--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -81,7 +81,7 @@
     name: 'requests that may have run are rejected as not executed',
     promise: 'not-run',
     file: 'src/coordination/gateway/request-call.ts',
-    text: 'else if (this.mayHaveRun || isUnanswered) this.refuse',
+    text: 'else if (this.mayHaveRun || isAwaitingHead) this.refuse',
     replacement: 'else if (this.request.id === "") this.refuse',
   },
   {
