--- a/fuzz/caching-engine.ts
+++ b/fuzz/caching-engine.ts
@@ -21,9 +21,10 @@
 /** Network delay of a response for which none is set. */
 const DEFAULT_DELAY_MS = 1;
 
-/** An engine over all its incarnations. */
+/** A simulated engine; each restart begins a new incarnation. */
 export class CachingEngine {
   private incarnation: Incarnation;
+  /** Callbacks of pending event requests. */
   private readonly waiting = new Set<() => void>();
   /** Network delays of the next responses, in milliseconds. */
   readonly responseDelaysMs: number[] = [];
@@ -81,7 +82,7 @@
     return { startedAtMs, epoch: startedAtMs, next: events.length, held: parts };
   }
 
-  /** Resolves on new events or after the wait; rejects if the engine restarts meanwhile. */
+  /** Resolves on new events or after the wait; rejects if the engine restarts first. */
   private eventsAfter(since: number, waitMs: number): Promise<CacheEventPage> {
     const queried = this.incarnation;
     return new Promise((resolve, reject) => {
@@ -107,9 +108,9 @@
     });
   }
 
-  /** Delays a response. It arrives even if the incarnation that sent it has ended meanwhile. */
-  private delayed<Answer>(answer: Answer): Promise<Answer> {
+  /** Delays a response. It arrives even if the incarnation that sent it has ended. */
+  private delayed<Result>(response: Result): Promise<Result> {
     const delayMs = this.responseDelaysMs.shift() ?? DEFAULT_DELAY_MS;
-    return new Promise((resolve) => this.clock.setTimer(delayMs, () => resolve(answer)));
+    return new Promise((resolve) => this.clock.setTimer(delayMs, () => resolve(response)));
   }
 }
--- a/fuzz/commands.ts
+++ b/fuzz/commands.ts
@@ -65,8 +65,8 @@
     ),
   );
 
-const hangUp = fc.nat(5).map((index) =>
-  command(`hangUp(${index})`, (simulation) => {
+const disconnectCaller = fc.nat(5).map((index) =>
+  command(`disconnectCaller(${index})`, (simulation) => {
     const open = simulation.requests.filter((request) => !request.isEnded);
     open[index % Math.max(1, open.length)]?.disconnect();
   }),
@@ -86,8 +86,8 @@
   }),
 );
 
-const herdRestart = fc.constant(undefined).map(() =>
-  command('herdRestart', (simulation) => {
+const restartAllRouters = fc.constant(undefined).map(() =>
+  command('restartAllRouters', (simulation) => {
     for (let index = 0; index < SIMULATION_ROUTERS; index += 1) simulation.crashRouter(index);
     for (let index = 0; index < SIMULATION_ROUTERS; index += 1) simulation.restartRouter(index);
   }),
@@ -223,10 +223,10 @@
       advance,
       advance,
       advance,
-      hangUp,
+      disconnectCaller,
       crashRouter,
       restartRouters,
-      herdRestart,
+      restartAllRouters,
       stopRouter,
       stopAgent,
       crashEngine,
--- a/fuzz/engine-limit-mutations.ts
+++ b/fuzz/engine-limit-mutations.ts
@@ -6,12 +6,12 @@
 /** Mutations that the fuzz test on engine limits must detect. */
 export const ENGINE_LIMIT_MUTATIONS: readonly GatewayMutation[] = [
   {
-    name: 'limits that engines name are passed over',
+    name: 'limits announced by engines are ignored',
     rule: 'limit-kept',
     mutation: { makeView: changeNotices((notice) => ({ ...notice, limitPerSecond: undefined })) },
   },
   {
-    name: 'each router takes the whole of a limit for itself',
+    name: 'each router uses the whole limit of an engine',
     rule: 'limit-kept',
     mutation: {
       makeView: changeNotices(({ limitPerSecond, ...notice }) => ({
--- a/fuzz/engine-notice-commands.ts
+++ b/fuzz/engine-notice-commands.ts
@@ -1,4 +1,4 @@
-/** Fuzz commands on engine notices: shutdowns that the store misses, and requested backoffs. */
+/** Fuzz commands on engine notices: shutdowns during store outages, and requested backoffs. */
 import fc from 'fast-check';
 import { EngineMode } from '../src/lab/gateway-simulation/simulated-engine.js';
 import { type GatewayCommand, command } from './gateway-command.js';
--- a/fuzz/engine-notice-mutations.ts
+++ b/fuzz/engine-notice-mutations.ts
@@ -5,12 +5,12 @@
 /** Mutations that the fuzz test on engine notices must detect. */
 export const ENGINE_NOTICE_MUTATIONS: readonly GatewayMutation[] = [
   {
-    name: 'only the store tells which engines leave',
+    name: 'shutdowns announced in responses are ignored',
     rule: 'leaving-engine-unused',
     mutation: { makeView: changeNotices((notice) => ({ ...notice, isLeaving: false })) },
   },
   {
-    name: 'pauses that engines ask for are passed over',
+    name: 'backoffs requested by engines are ignored',
     rule: 'backoff-kept',
     mutation: { makeView: changeNotices((notice) => ({ ...notice, backoffMs: undefined })) },
   },
--- a/fuzz/engine-restart-commands.ts
+++ b/fuzz/engine-restart-commands.ts
@@ -76,7 +76,7 @@
     ),
   );
 
-/** Chooses whether engines that crash from now on restart under their name or are replaced. */
+/** Sets whether engines that crash later restart under their name or are replaced. */
 const restartUnderName = fc.boolean().map((isUnderName) =>
   command(`restartUnderName(${isUnderName})`, (simulation) => {
     simulation.fleet.restartsUnderName = isUnderName;
--- a/fuzz/engine-restart-mutations.ts
+++ b/fuzz/engine-restart-mutations.ts
@@ -28,9 +28,9 @@
   const newest = new Map<string, number>();
   return ({ engines, decoder }) => ({
     engines: changePort(engines, {
-      sendLoadCommand: async (endpoint, order) => {
-        const result = await engines.sendLoadCommand(endpoint, order);
-        if (result.kind === 'accepted') newest.set(endpoint.name, order.version);
+      sendLoadCommand: async (endpoint, command) => {
+        const result = await engines.sendLoadCommand(endpoint, command);
+        if (result.kind === 'accepted') newest.set(endpoint.name, command.version);
         return result;
       },
     }),
@@ -66,8 +66,8 @@
   const startedAtMs = undefined;
   return {
     engines: changePort(engines, {
-      sendLoadCommand: async (endpoint, order) => {
-        const result = await engines.sendLoadCommand(endpoint, order);
+      sendLoadCommand: async (endpoint, command) => {
+        const result = await engines.sendLoadCommand(endpoint, command);
         return 'startedAtMs' in result ? { ...result, startedAtMs } : result;
       },
       readWeightState: async (endpoint, model) => {
@@ -132,22 +132,22 @@
 /** Mutations that the fuzz test on engine restarts must detect. */
 export const ENGINE_RESTART_MUTATIONS: readonly GatewayMutation[] = [
   {
-    name: 'versions of a former life are believed of the present one',
+    name: 'versions loaded by a previous incarnation are attributed to the current one',
     rule: 'weights-in-force',
     mutation: { makeView: keepVersions },
   },
   {
-    name: 'the orders that a former life has counted are expected of the present one',
+    name: 'the command sequence of a previous incarnation is expected from the current one',
     rule: 'weights-in-force',
     mutation: { makeView: () => keepSequences },
   },
   {
-    name: 'all lives of an engine are taken for one',
+    name: 'all incarnations of an engine are treated as one',
     rule: 'weights-in-force',
     mutation: { makeView: () => ignoreStarts },
   },
   {
-    name: 'entries in an unknown state are used',
+    name: 'entries with an unknown state are used',
     rule: 'odd-entry-unused',
     mutation: { makeView: () => trustStates },
   },
@@ -161,6 +161,9 @@
 
 /** Mutations that the fuzz test on cached prefixes must detect. */
 export const CACHED_PREFIXES_MUTATIONS: readonly CachedPrefixesMutation[] = [
-  { name: 'the feed of a former life is continued', makeView: continueFeeds },
-  { name: 'the prefixes of a former life are believed kept', makeView: () => keepCachedPrefixes },
+  { name: 'the event feed of a previous incarnation is continued', makeView: continueFeeds },
+  {
+    name: 'the prefixes of a previous incarnation are treated as cached',
+    makeView: () => keepCachedPrefixes,
+  },
 ];
--- a/fuzz/gateway-commands.ts
+++ b/fuzz/gateway-commands.ts
@@ -172,14 +172,14 @@
 );
 
 /** Drains an engine while the router that relays store changes is cut off from the store. */
-const drainDuringCut = fc.tuple(router, engine, tenant).map(([index, leaving, name]) =>
-  command(`drainDuringCut(${index}, ${leaving}, ${name})`, async (simulation) => {
+const drainDuringCut = fc.tuple(router, engine, tenant).map(([index, engineIndex, name]) =>
+  command(`drainDuringCut(${index}, ${engineIndex}, ${name})`, async (simulation) => {
     const CUT_MS = 6_000;
     const AFTER_DEADLINE_MS = 2_200;
     const REQUESTS = 12;
     simulation.cutFromStore(index, CUT_MS);
     await simulation.clock.advance(50);
-    simulation.fleet.drain(leaving);
+    simulation.fleet.drain(engineIndex);
     await simulation.clock.advance(AFTER_DEADLINE_MS);
     for (let step = 0; step < REQUESTS; step += 1) {
       simulation.request(
--- a/fuzz/gateway-main.ts
+++ b/fuzz/gateway-main.ts
@@ -10,7 +10,7 @@
 import { quotaCommands } from './quota-commands.js';
 import { storeRestorationCommands } from './store-restoration-commands.js';
 
-/** Command sources by the name of the focus on the command line. */
+/** Command sources by the third argument; others select those of `gateway-commands.ts`. */
 const SOURCES: ReadonlyMap<string, CommandSource> = new Map([
   ['lives', engineRestartCommands],
   ['limits', quotaCommands],
--- a/fuzz/gateway-mutations.ts
+++ b/fuzz/gateway-mutations.ts
@@ -33,35 +33,35 @@
 /** Mutations that the gateway's fuzz test must detect. */
 export const GATEWAY_MUTATIONS: readonly GatewayMutation[] = [
   {
-    name: 'proofs of the configuration hold for ever',
+    name: 'proofs of the configuration never expire',
     rule: 'key-removed',
     mutation: { settings: { proofLifetimeMs: Infinity } },
   },
   {
-    name: 'a successor does not wait for the lease to lapse',
+    name: 'a new lease holder does not wait for the previous lease to expire',
     rule: 'one-holder',
     mutation: { settings: { leaseMs: -5_000 } },
     seed: 2,
   },
   {
-    name: 'proofs grow no older while the machine is suspended',
+    name: 'proofs do not age while the machine is suspended',
     rule: 'key-removed',
     mutation: { countsSuspensions: false },
   },
   {
-    name: 'requests that crash engines are never stopped',
+    name: 'requests that crash engines are never quarantined',
     rule: 'crashes-bounded',
     mutation: { settings: { quarantine: { crashes: Infinity } } },
   },
   {
-    name: 'what a router relays is taken however old it is',
+    name: 'relayed state is accepted regardless of its age',
     rule: 'engine-drained',
     mutation: {
       settings: { relay: { ...simulationSettings('any').relay, maximumProofAgeMs: Infinity } },
     },
   },
   {
-    name: 'draining engines are taken for ready',
+    name: 'draining engines are treated as ready',
     rule: 'engine-drained',
     mutation: {
       decoder: (decoder) => ({
@@ -75,7 +75,7 @@
     },
   },
   {
-    name: 'requests that may run once are taken for repeatable',
+    name: 'requests that may run only once are treated as repeatable',
     rule: 'at-most-once',
     mutation: changeConfiguration((configuration) => ({
       ...configuration,
@@ -83,7 +83,7 @@
     })),
   },
   {
-    name: 'isolated tenants share kept prompts',
+    name: 'isolated tenants share cached prompts',
     rule: 'own-salt',
     mutation: changeConfiguration((configuration) => ({
       ...configuration,
@@ -91,7 +91,7 @@
     })),
   },
   {
-    name: 'streams that must not be resumed are',
+    name: 'streams that must not be resumed are resumed',
     rule: 'at-most-once',
     mutation: changeConfiguration((configuration) => ({
       ...configuration,
--- a/fuzz/gateway-suite.ts
+++ b/fuzz/gateway-suite.ts
@@ -17,7 +17,7 @@
 const CACHED_PREFIXES_RUNS = 300;
 const TIMEOUT_MS = 170_000;
 
-/** Declares a test per seed that no rule is broken under faults. */
+/** Declares one test per seed, which checks that no rule is broken under faults. */
 export function declareGatewayFuzz(
   seeds: readonly number[],
   commands: CommandSource = gatewayCommands,
@@ -32,7 +32,7 @@
   }
 }
 
-/** Declares a test per seed that no rule is broken while engines restart under their names. */
+/** Declares one test per seed, which checks that no rule is broken while engines restart. */
 export function declareEngineRestartFuzz(seeds: readonly number[]): void {
   for (const seed of seeds) {
     test.serial(`no rule is broken while engines restart, seed ${seed}`, async (t) => {
@@ -45,7 +45,7 @@
   }
 }
 
-/** Declares a test per mutation on engine restarts that the fuzz test detects it. */
+/** Declares the tests of the mutations on engine restarts. */
 export function declareEngineRestartMutations(): void {
   declareMutations(ENGINE_RESTART_MUTATIONS, engineRestartCommands, RESTART_RUNS);
 }
@@ -64,12 +64,12 @@
   }
 }
 
-/** Declares a test for every `shares`-th mutation, starting at `share`, that it is detected. */
+/** Declares the tests of every `shares`-th mutation, starting at index `share`. */
 export function declareGatewayMutations(share: number, shares: number): void {
   declareMutations(GATEWAY_MUTATIONS.filter((_, index) => index % shares === share));
 }
 
-/** Declares a test per mutation that the fuzz test detects it. */
+/** Declares one test per mutation, which checks that the fuzz test detects it. */
 export function declareMutations(
   mutations: readonly GatewayMutation[],
   commands: CommandSource = gatewayCommands,
--- a/fuzz/quota-mutations.ts
+++ b/fuzz/quota-mutations.ts
@@ -27,12 +27,12 @@
 /** Mutations that the fuzz test on tenant limits must detect. */
 export const QUOTA_MUTATIONS: readonly GatewayMutation[] = [
   {
-    name: 'the account of a tenant forgets what other routers used',
+    name: 'the quota owner of a tenant does not count the usage of other routers',
     rule: 'tenant-limit',
     mutation: { datagrams: omitAmounts },
   },
   {
-    name: 'routers grant more than operators tolerate',
+    name: 'routers grant more than the tolerance of the operator allows',
     rule: 'tenant-limit',
     mutation: {
       settings: {
--- a/fuzz/store-restoration-commands.ts
+++ b/fuzz/store-restoration-commands.ts
@@ -20,12 +20,12 @@
 /** Restores a copy that lacks the most recent changes, which are then written again. */
 const restoreAfterChanges = fc
   .tuple(engine, outageMs, rewriteDelayMs, fc.constantFrom(0, 50, 300))
-  .map(([leaving, outage, rewriteDelay, waitMs]) =>
+  .map(([engineIndex, outage, rewriteDelay, waitMs]) =>
     command(
-      `restoreAfterChanges(${leaving}, ${outage}, ${rewriteDelay}, ${waitMs})`,
+      `restoreAfterChanges(${engineIndex}, ${outage}, ${rewriteDelay}, ${waitMs})`,
       async (simulation) => {
         const LOST_MS = 1_000;
-        simulation.fleet.drain(leaving);
+        simulation.fleet.drain(engineIndex);
         simulation.toggleKey('tenant-1', 1);
         simulation.publishWeights();
         await simulation.clock.advance(waitMs);
@@ -37,14 +37,14 @@
 /** Makes enough changes after the restoration to reach revisions that were already used. */
 const changeAfterRestoration = fc
   .tuple(engine, fc.integer({ min: 1, max: 8 }), fc.constantFrom(0, 1, 60, 400))
-  .map(([leaving, changes, gapMs]) =>
+  .map(([engineIndex, changes, gapMs]) =>
     command(
-      `changeAfterRestoration(${leaving}, ${changes} each ${gapMs} ms)`,
+      `changeAfterRestoration(${engineIndex}, ${changes} each ${gapMs} ms)`,
       async (simulation) => {
         for (let change = 0; change < changes; change += 1) simulation.toggleKey('tenant-1', 1);
         simulation.restoreStore({ lostMs: 1, awayMs: 50, writtenAgainMs: 0 });
         await simulation.clock.advance(50);
-        simulation.fleet.drain(leaving);
+        simulation.fleet.drain(engineIndex);
         for (let change = 0; change < changes; change += 1) {
           simulation.toggleKey('tenant-1', 1);
           await simulation.clock.advance(gapMs);
--- a/fuzz/store-restoration-mutations.ts
+++ b/fuzz/store-restoration-mutations.ts
@@ -4,12 +4,12 @@
 /** Mutations that the fuzz test on store restorations must detect. */
 export const STORE_RESTORATION_MUTATIONS: readonly GatewayMutation[] = [
   {
-    name: 'the answers of a restored store are ordered by revision alone',
+    name: 'responses of a restored store are ordered by revision alone',
     rule: 'one-holder',
     mutation: { seesEras: false },
   },
   {
-    name: 'a router that starts takes the lease of a restored store at once',
+    name: 'a starting router acquires the lease of a restored store immediately',
     rule: 'one-holder',
     mutation: { settings: { isFirstStart: true } },
   },
--- a/soak/deployment.ts
+++ b/soak/deployment.ts
@@ -173,7 +173,7 @@
   }
 
   /**
-   * Writes a malformed entry among those of the engines, as a foreign writer would.
+   * Writes a malformed entry among those of the engines, as another program might.
    *
    * @param name engine whose entry is overwritten; by default a name that no engine has
    */
@@ -187,8 +187,8 @@
   }
 
   /**
-   * Removes an API key, or restores a removed one. Changes run one after the other, so that each
-   * removal gets its own end.
+   * Removes an API key, or restores a removed one. Changes run one after the other, so that the
+   * end of each removal is recorded.
    */
   toggleKey(key: string): Promise<void> {
     this.lastToggle = this.lastToggle.then(() => this.applyKeyToggle(key));
--- a/soak/engine-fleet.ts
+++ b/soak/engine-fleet.ts
@@ -52,7 +52,7 @@
     private readonly publishedVersion: () => number,
   ) {}
 
-  /** Engines that do not drain and have not crashed for good. */
+  /** Engines that neither drain nor are replaced by another one after a crash. */
   get remaining(): readonly Engine[] {
     return this.engines.filter((engine) => !engine.isLeaving);
   }
@@ -154,7 +154,7 @@
     return fork(ENGINE_PROGRAM, [name, service, address, this.storeAddress, String(version)]);
   }
 
-  /** Starts the next incarnation. It takes over nothing but the version of the weights. */
+  /** Starts the next incarnation. Only the version of the weights is preserved. */
   private async startNextIncarnation(engine: Engine): Promise<void> {
     if (this.isEnded || engine.isLeaving) return;
     const { name, service, proxy, weightsVersion } = engine;
@@ -173,7 +173,7 @@
     });
   }
 
-  /** Restarts a crashed engine under its name, or replaces it by a new one, in turn. */
+  /** Restarts a crashed engine under its name, or replaces it by a new one, alternately. */
   private restartCrashed(engine: Engine): void {
     this.crashCount += 1;
     if (this.crashCount % 2 === 0) {
--- a/soak/engine-notice-steps.ts
+++ b/soak/engine-notice-steps.ts
@@ -1,4 +1,4 @@
-/** Steps of a soak on notices in engine responses: drains in store outages, and retry delays. */
+/** Steps of a soak on notices in engine responses: drains during store outages, retry delays. */
 import { randomElement, randomInteger } from '../src/runtime/random.js';
 import type { StepFactory } from './schedule.js';
 
--- a/soak/engine-restart-steps.ts
+++ b/soak/engine-restart-steps.ts
@@ -65,7 +65,7 @@
     };
   },
   (random) => ({
-    name: 'a foreign writer adds a malformed entry',
+    name: 'another program adds a malformed entry',
     run: (deployment) => {
       const engine = randomElement(random, deployment.fleet.running);
       if (!engine) return;
@@ -73,7 +73,7 @@
     },
   }),
   (random) => ({
-    name: "a foreign writer overwrites an engine's entry",
+    name: "another program overwrites an engine's entry",
     run: (deployment) => {
       const engine = randomElement(random, deployment.fleet.running);
       if (!engine) return;
--- a/soak/malformed-entries.ts
+++ b/soak/malformed-entries.ts
@@ -1,4 +1,4 @@
-/** Malformed engine entries, as a foreign writer may leave them in the soak's store. */
+/** Malformed engine entries, as another program may write them to the soak's store. */
 import { type RandomSource, randomElement } from '../src/runtime/random.js';
 import { MODEL, Service } from './wire.js';
 
--- a/soak/tcp-proxy.ts
+++ b/soak/tcp-proxy.ts
@@ -26,7 +26,7 @@
   private readonly server: Server;
   private readonly pairs = new Set<ConnectionPair>();
   private currentMode = ProxyMode.Pass;
-  /** Where connections go; set once the target is known. */
+  /** Port that connections are forwarded to; set once the target is known. */
   targetPort = 0;
 
   private constructor() {
--- a/src/lab/gateway-simulation/gateway-oracle.ts
+++ b/src/lab/gateway-simulation/gateway-oracle.ts
@@ -45,7 +45,7 @@
 const REQUEST_BUDGET_MS = 3_000;
 /** Allows for a request that was in flight when the drain took effect. */
 const DRAIN_SLACK_MS = 50;
-/** Time within which the previous engine must stop after a failover. */
+/** How long the previous engine may keep running a request after a failover. */
 const OVERLAP_MS = 400;
 
 /** Number of crashes after which a request is quarantined. */
--- a/src/lab/gateway-simulation/gateway-simulation.ts
+++ b/src/lab/gateway-simulation/gateway-simulation.ts
@@ -53,6 +53,7 @@
 export interface StoreRestoration {
   /** Writes of this long before the outage are lost. */
   readonly lostMs: number;
+  /** Duration of the outage before the restored store is available. */
   readonly awayMs: number;
   /** Delay after the outage until the operator rewrites lost objects. */
   readonly writtenAgainMs: number;
--- a/src/lab/gateway-simulation/limit-oracle.ts
+++ b/src/lab/gateway-simulation/limit-oracle.ts
@@ -62,17 +62,17 @@
 /** Finds the first window of a period in which more requests arrived than allowed. */
 function judgePeriod(period: LimitedPeriod, simulation: GatewaySimulation): LimitBreach[] {
   const firstNoticeMs = firstNoticeByRouter(period, simulation);
-  const firstNamedMs = Math.min(Infinity, ...firstNoticeMs.values());
+  const firstAnnouncedMs = Math.min(Infinity, ...firstNoticeMs.values());
   const counted = simulation.observations.arrivals.filter((arrival) =>
     isCounted(arrival, period, firstNoticeMs, simulation),
   );
-  const full = firstExceededWindow(
+  const exceeded = firstExceededWindow(
     counted.map(({ atMs }) => atMs),
-    firstNamedMs + RECOVERY_MS,
+    firstAnnouncedMs + RECOVERY_MS,
     (atMs) => allowedRequests(period, atMs),
   );
-  if (!full) return [];
-  const { requests, allowed, atMs } = full;
+  if (!exceeded) return [];
+  const { requests, allowed, atMs } = exceeded;
   const detail = `${requests} requests at ${period.engineId} until ${atMs} ms, ${allowed} allowed`;
   return [{ rule: 'limit-kept', detail }];
 }
@@ -84,10 +84,11 @@
 ): ReadonlyMap<string, number> {
   const firstNoticeMs = new Map<string, number>();
   for (const notice of observations.notices) {
-    const { answeredMs, router, limitPerSecond } = notice;
-    const isOfPeriod = notice.engineId === engineId && answeredMs >= fromMs && answeredMs < untilMs;
+    const { respondedMs, router, limitPerSecond } = notice;
+    const isOfPeriod =
+      notice.engineId === engineId && respondedMs >= fromMs && respondedMs < untilMs;
     if (!isOfPeriod || limitPerSecond === undefined || firstNoticeMs.has(router)) continue;
-    firstNoticeMs.set(router, answeredMs);
+    firstNoticeMs.set(router, respondedMs);
   }
   return firstNoticeMs;
 }
--- a/src/lab/gateway-simulation/malformed-entry.ts
+++ b/src/lab/gateway-simulation/malformed-entry.ts
@@ -1,4 +1,4 @@
-/** Malformed engine entries, as another writer may leave them in the store. */
+/** Malformed engine entries, as another program may write them to the store. */
 import type { StoredEngine } from './stored-engine.js';
 
 /** How an entry is malformed. */
--- a/src/lab/gateway-simulation/notice-oracle.ts
+++ b/src/lab/gateway-simulation/notice-oracle.ts
@@ -31,26 +31,26 @@
   simulation: GatewaySimulation,
 ): NoticeBreach[] {
   if (!notice.isLeaving) return [];
-  const limitMs = notice.answeredMs + SIMULATION_BOUNDS.drainMs;
+  const limitMs = notice.respondedMs + SIMULATION_BOUNDS.drainMs;
   const late = arrivalsAfter(notice, simulation).find(
     ({ requestId, atMs }) =>
       (sentMsById.get(requestId) ?? -Infinity) > limitMs &&
-      !simulation.disturbances.wasInterrupted(notice.router, notice.answeredMs, atMs),
+      !simulation.disturbances.wasInterrupted(notice.router, notice.respondedMs, atMs),
   );
   if (!late) return [];
-  const lateMs = Math.round(late.atMs - notice.answeredMs);
+  const lateMs = Math.round(late.atMs - notice.respondedMs);
   const detail = `${late.requestId} reached ${late.engineId} from ${late.router} ${lateMs} ms after`;
   return [{ rule: 'leaving-engine-unused', detail }];
 }
 
 /** A router sends almost no requests to an engine during a backoff that it requested. */
 function judgeBackoff(notice: ObservedNotice, simulation: GatewaySimulation): NoticeBreach[] {
-  const { answeredMs, backoffMs, router, engineId } = notice;
+  const { respondedMs, backoffMs, router, engineId } = notice;
   if (backoffMs === undefined) return [];
-  const untilMs = answeredMs + backoffMs;
-  if (simulation.disturbances.wasInterrupted(router, answeredMs, untilMs)) return [];
+  const untilMs = respondedMs + backoffMs;
+  if (simulation.disturbances.wasInterrupted(router, respondedMs, untilMs)) return [];
   const early = arrivalsAfter(notice, simulation).filter(
-    ({ atMs }) => atMs > answeredMs + IN_FLIGHT_MS && atMs < untilMs,
+    ({ atMs }) => atMs > respondedMs + IN_FLIGHT_MS && atMs < untilMs,
   );
   if (early.length <= MAXIMUM_DURING_BACKOFF) return [];
   const detail = `${early.length} requests reached ${engineId} from ${router} in ${backoffMs} ms`;
@@ -58,11 +58,11 @@
 }
 
 function arrivalsAfter(
-  { router, engineId, answeredMs }: ObservedNotice,
+  { router, engineId, respondedMs }: ObservedNotice,
   { observations }: GatewaySimulation,
 ): ObservedArrival[] {
   return observations.arrivals.filter(
     (arrival) =>
-      arrival.router === router && arrival.engineId === engineId && arrival.atMs > answeredMs,
+      arrival.router === router && arrival.engineId === engineId && arrival.atMs > respondedMs,
   );
 }
--- a/src/lab/gateway-simulation/quota-oracle.ts
+++ b/src/lab/gateway-simulation/quota-oracle.ts
@@ -37,7 +37,7 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 /** Step of the search for a time at which all routers have been connected for long enough. */
-const CONTACT_STEP_MS = 250;
+const CONNECTION_CHECK_STEP_MS = 250;
 
 /** Returns at most one violation for each tenant: the first window above the limit. */
 export function judgeQuotas(
@@ -117,8 +117,8 @@
 function effectiveAtMs({ atMs }: LimitChange, simulation: GatewaySimulation): number {
   const { applyMs } = SIMULATION_BOUNDS;
   let connectedSinceMs = atMs;
-  for (let nowMs = atMs; nowMs <= simulation.now; nowMs += CONTACT_STEP_MS) {
-    if (isAnyDisturbed(simulation, nowMs)) connectedSinceMs = nowMs + CONTACT_STEP_MS;
+  for (let nowMs = atMs; nowMs <= simulation.now; nowMs += CONNECTION_CHECK_STEP_MS) {
+    if (isAnyDisturbed(simulation, nowMs)) connectedSinceMs = nowMs + CONNECTION_CHECK_STEP_MS;
     else if (nowMs - connectedSinceMs >= applyMs) return nowMs;
   }
   return Infinity;
--- a/src/lab/gateway-simulation/recorded-reply.ts
+++ b/src/lab/gateway-simulation/recorded-reply.ts
@@ -7,6 +7,7 @@
 /** Records one response. */
 export class RecordedReply implements Reply {
   status: number | undefined;
+  /** Response that the router generated itself, such as a rejection. */
   own: RouterResponse | undefined;
   ending: ReplyEnd | undefined;
   body = '';
@@ -25,9 +26,9 @@
     this.ending = 'whole';
   }
 
-  refuse(answer: RouterResponse): void {
-    this.status = answer.status;
-    this.own = answer;
+  refuse(response: RouterResponse): void {
+    this.status = response.status;
+    this.own = response;
     this.ending = 'refused';
   }
 
--- a/src/lab/gateway-simulation/simulated-engine.ts
+++ b/src/lab/gateway-simulation/simulated-engine.ts
@@ -148,7 +148,7 @@
     return { isLeaving, backoffMs, limitPerSecond, unreadable: [], unknownHeaders: [] };
   }
 
-  /** Stops at once and breaks the connections of running requests. */
+  /** Stops immediately and breaks the connections of running requests. */
   crash(): void {
     this.isRunning = false;
     for (const exchange of [...this.running]) exchange.disconnect();
@@ -175,7 +175,7 @@
   readonly engineId: string;
   readonly router: string;
   /** When the engine sent the response. */
-  readonly answeredMs: number;
+  readonly respondedMs: number;
 }
 
 /** A request that arrived at an engine, whether or not it ran. */
@@ -191,7 +191,7 @@
 export interface ObservedLimit {
   /** Incarnation of the engine. */
   readonly engineId: string;
-  /** Requests per second of all routers together; undefined: no limit any more. */
+  /** Requests per second of all routers together; undefined if the limit was removed. */
   readonly perSecond: number | undefined;
   readonly atMs: number;
 }
--- a/src/lab/gateway-simulation/simulated-exchange.ts
+++ b/src/lab/gateway-simulation/simulated-exchange.ts
@@ -49,20 +49,20 @@
    */
   reach(
     engine: SimulatedEngine,
-    onNotice: (notice: EngineNotice, answeredMs: number) => void,
+    onNotice: (notice: EngineNotice, respondedMs: number) => void,
   ): void {
     this.deliverNotice = (isRefusal) => {
       const notice = engine.noticeFor(isRefusal);
       if (!notice) return;
-      const answeredMs = this.clock.now();
+      const respondedMs = this.clock.now();
       this.deliver(() => {
-        onNotice(notice, answeredMs);
+        onNotice(notice, respondedMs);
         this.listener.onNotice(notice);
       });
     };
   }
 
-  /** Queues the request at the engine. It does not start if it is cancelled meanwhile. */
+  /** Queues the request at the engine. It does not start if it is cancelled before. */
   waitInQueue(waitMs: number, start: () => void): void {
     this.clock.setTimer(waitMs, () => {
       if (!this.isEnded) start();
@@ -171,7 +171,7 @@
     this.deliverLast(() => this.listener.onEnd());
   }
 
-  /** Sends the remaining events. A cut truncates the third one. */
+  /** Sends the remaining events; if `isCut`, truncates the third one and disconnects. */
   private sendEvent(index: number, isCut: boolean): void {
     if (index > STREAM_EVENTS) {
       this.leaveEngine();
--- a/src/lab/gateway-simulation/simulated-fleet.ts
+++ b/src/lab/gateway-simulation/simulated-fleet.ts
@@ -147,7 +147,7 @@
     this.announceShutdown(index);
   }
 
-  /** Drains an engine. Its responses state this at once, its entry once the store is available. */
+  /** Drains an engine. Its responses state this immediately, its entry when the store is up. */
   announceShutdown(index: number): void {
     const engine = this.engine(index);
     if (!engine.isRunning || engine.isDraining) return;
--- a/src/lab/gateway-simulation/simulated-inference.ts
+++ b/src/lab/gateway-simulation/simulated-inference.ts
@@ -27,7 +27,7 @@
 
 const LOAD_MS = 300;
 const REPORT_TIMEOUT_MS = 400;
-/** Delay of a load command that the network holds back. */
+/** Delay of a load command with `LoadCommandFault.Late`. */
 const LATE_COMMAND_MS = 2_500;
 const NO_RESPONSE: LoadCommandResult = { kind: 'unknown', reason: 'silent' };
 
@@ -167,8 +167,8 @@
     const { router } = this;
     const engineId = engine.id;
     arrivals.push({ requestId, engineId, router, atMs: this.clock.now() });
-    exchange.reach(engine, (notice, answeredMs) => {
-      notices.push({ ...notice, engineId, router, answeredMs });
+    exchange.reach(engine, (notice, respondedMs) => {
+      notices.push({ ...notice, engineId, router, respondedMs });
     });
   }
 
--- a/src/lab/gateway-simulation/simulated-object-store.ts
+++ b/src/lab/gateway-simulation/simulated-object-store.ts
@@ -34,9 +34,9 @@
   private oldestKnown = 0;
   private currentEra = 1;
   isDown = false;
-  /** Rejects every call at once as busy. */
+  /** Whether every call is rejected immediately as busy. */
   isBusy = false;
-  /** Number of calls, including failed ones. */
+  /** Number of calls through ports, including failed ones. */
   calls = 0;
   /** Routers that can't reach the store. */
   readonly unreachableFor = new Set<string>();
