--- a/fuzz/change-port.ts
+++ b/fuzz/change-port.ts
@@ -1,13 +1,13 @@
-/** What a mutation changes of a router's access to engines. */
+/** Mutation helper that replaces calls of a router's inference port. */
 import type { InferencePort } from '../src/protocol/inference/port.js';
 
-/** The port with some of its calls replaced. */
+/** Returns a port that delegates to another one, except for the given calls. */
 export function changePort(port: InferencePort, changes: Partial<InferencePort>): InferencePort {
   return {
     send: (...args) => port.send(...args),
     checkListener: (endpoint) => port.checkListener(endpoint),
-    order: (...args) => port.order(...args),
-    weightState: (...args) => port.weightState(...args),
+    sendLoadCommand: (...args) => port.sendLoadCommand(...args),
+    readWeightState: (...args) => port.readWeightState(...args),
     cacheEvents: (...args) => port.cacheEvents(...args),
     cacheContents: (address) => port.cacheContents(address),
     retain: (engineIds) => port.retain(engineIds),
--- a/src/lab/http-server.ts
+++ b/src/lab/http-server.ts
@@ -1,21 +1,20 @@
-/** What the HTTP faces of all stand-ins share. */
+/** Helpers for the HTTP servers of the fake outside systems. */
 import Hapi from '@hapi/hapi';
 import type { z } from 'zod';
 import { HttpStatus } from '../protocol/http-status.js';
 import { formatAddress, parseAddress } from '../transport/address.js';
 
-/** Largest request body a stand-in takes. */
 const MAXIMUM_BODY_BYTES = 8 * 1024 * 1024;
 
-/** A running stand-in. */
-export interface StandInServer {
+/** A running server of a fake system. */
+export interface FakeServer {
   /** Bound `HOST:PORT`. */
   readonly address: string;
   stop(): Promise<void>;
 }
 
-/** A hapi server for an address, not yet started. */
-export function createStandInServer(address: string): Hapi.Server {
+/** Creates a hapi server for an address without starting it. */
+export function createFakeServer(address: string): Hapi.Server {
   const { host, port } = parseAddress(address);
   const server = Hapi.server({
     host,
@@ -23,13 +22,13 @@
     compression: false,
     routes: { payload: { maxBytes: MAXIMUM_BODY_BYTES }, state: { parse: false } },
   });
-  // Each SSE event is its own small write; waiting to fill a segment would delay tokens.
+  // Nagle's algorithm would delay the small writes of SSE events.
   server.listener.on('connection', (socket) => socket.setNoDelay(true));
   return server;
 }
 
-/** Starts a server and describes it. */
-export async function startStandIn(server: Hapi.Server): Promise<StandInServer> {
+/** Starts a server and returns its bound address. */
+export async function startFakeServer(server: Hapi.Server): Promise<FakeServer> {
   await server.start();
   return {
     address: formatAddress(String(server.settings.host), Number(server.info.port)),
@@ -37,17 +36,17 @@
   };
 }
 
-/** The answer to a body that does not follow the interface. */
-export function malformed(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
+/** Response to a body that doesn't match the schema. */
+export function malformedResponse(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
   return h.response({ error: 'malformed' }).code(HttpStatus.BadRequest);
 }
 
-/** The answer to a call that is done and has nothing to tell. */
-export function done(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
+/** Empty response to a successful call. */
+export function emptyResponse(h: Hapi.ResponseToolkit): Hapi.ResponseObject {
   return h.response().code(HttpStatus.NoContent);
 }
 
-/** Adds the route by which the laboratory sets the faults of a stand-in. */
+/** Adds the route that sets the injected faults of a fake system. */
 export function addFaultRoute<Schema extends z.ZodType>(
   server: Hapi.Server,
   schema: Schema,
@@ -58,14 +57,14 @@
     path: '/lab/faults',
     handler: (request, h) => {
       const faults = schema.safeParse(request.payload);
-      if (!faults.success) return malformed(h);
+      if (!faults.success) return malformedResponse(h);
       apply(faults.data);
-      return done(h);
+      return emptyResponse(h);
     },
   });
 }
 
-/** A whole number from a query, or the default. */
+/** Returns a query parameter as a number, or the fallback if it is missing or not finite. */
 export function queryNumber(request: Hapi.Request, name: string, fallback: number): number {
   const value = Number((request.query as Record<string, unknown>)[name] ?? fallback);
   return Number.isFinite(value) ? value : fallback;
--- a/src/lab/platform/http-face.ts
+++ b/src/lab/platform/http-server.ts
@@ -1,17 +1,17 @@
-/** The stand-in platform over HTTP: object API and machine list (docs/INTERFACES.md). */
+/** HTTP server of the fake platform: object API and machine list (docs/INTERFACES.md). */
 import { HttpStatus } from '../../protocol/http-status.js';
 import type Hapi from '@hapi/hapi';
 import { z } from 'zod';
 import { type Clock, sleep } from '../../runtime/clock.js';
 import { machineSchema } from '../../protocol/machine-list/http-client.js';
 import {
-  type StandInServer,
+  type FakeServer,
   addFaultRoute,
-  createStandInServer,
-  done,
-  malformed,
+  createFakeServer,
+  emptyResponse,
+  malformedResponse,
   queryNumber,
-  startStandIn,
+  startFakeServer,
 } from '../http-server.js';
 import type { MachineRegistry } from './machine-registry.js';
 import type { ObjectStore } from './object-store.js';
@@ -27,14 +27,14 @@
   lose_write_answers: z.number().int().min(0).optional(),
 });
 
-/** Starts the HTTP face of the platform. */
-export function startPlatformFace(
+/** Starts the HTTP server of the fake platform. */
+export function startPlatformServer(
   store: ObjectStore,
   machines: MachineRegistry,
   clock: Clock,
   address: string,
-): Promise<StandInServer> {
-  const server = createStandInServer(address);
+): Promise<FakeServer> {
+  const server = createFakeServer(address);
   server.ext('onPreHandler', async (request, h) => {
     if (request.path.startsWith('/lab/')) return h.continue;
     await sleep(clock, store.faults.delayMs);
@@ -45,7 +45,7 @@
   addObjectRoutes(server, store);
   addMachineRoutes(server, machines);
   addFaultRoute(server, faultsSchema, (faults) => applyFaults(store, faults));
-  return startStandIn(server);
+  return startFakeServer(server);
 }
 
 function addObjectRoutes(server: Hapi.Server, store: ObjectStore): void {
@@ -65,11 +65,11 @@
     path: '/objects/{name}',
     handler: (request, h) => {
       const body = writeSchema.safeParse(request.payload);
-      if (!body.success) return malformed(h);
+      if (!body.success) return malformedResponse(h);
       const { content, expected_version: expectedVersion } = body.data;
       const result = store.write(String(request.params.name), content, expectedVersion);
-      if (store.faults.loseWriteAnswers > 0) {
-        store.faults.loseWriteAnswers -= 1;
+      if (store.faults.loseWriteResponses > 0) {
+        store.faults.loseWriteResponses -= 1;
         request.raw.req.socket.destroy();
         return h.abandon;
       }
@@ -94,9 +94,9 @@
     path: '/machines/{id}',
     handler: (request, h) => {
       const machine = machineSchema.safeParse(request.payload);
-      if (!machine.success) return malformed(h);
+      if (!machine.success) return malformedResponse(h);
       machines.put(machine.data);
-      return done(h);
+      return emptyResponse(h);
     },
   });
   server.route({
@@ -104,13 +104,13 @@
     path: '/machines/{id}',
     handler: (request, h) => {
       machines.remove(String(request.params.id));
-      return done(h);
+      return emptyResponse(h);
     },
   });
 }
 
-function applyFaults({ faults }: ObjectStore, wanted: z.infer<typeof faultsSchema>): void {
-  faults.down = wanted.down ?? faults.down;
-  faults.delayMs = wanted.delay_ms ?? faults.delayMs;
-  faults.loseWriteAnswers = wanted.lose_write_answers ?? faults.loseWriteAnswers;
+function applyFaults({ faults }: ObjectStore, update: z.infer<typeof faultsSchema>): void {
+  faults.down = update.down ?? faults.down;
+  faults.delayMs = update.delay_ms ?? faults.delayMs;
+  faults.loseWriteResponses = update.lose_write_answers ?? faults.loseWriteResponses;
 }
--- a/src/lab/simulation/observed-request.ts
+++ b/src/lab/simulation/observed-request.ts
@@ -1,4 +1,4 @@
-/** A request as the oracle sees it: what was asked and all that the caller heard. */
+/** Records a request and everything that its caller received, for the oracle. */
 import type { CallerHandle, CallerRequest, CallerSink } from '../../coordination/agent/caller.js';
 import type { FailedCall } from '../../coordination/errors.js';
 
@@ -9,12 +9,12 @@
   | { readonly kind: 'failed'; readonly failed: FailedCall }
   | { readonly kind: 'hung-up' };
 
-/** One request and its record. */
+/** A request and its recorded response. */
 export class ObservedRequest implements CallerSink {
   readonly texts: string[] = [];
   readonly ends: ObservedEnd[] = [];
-  /** Faults of the stream itself, as they were seen. */
-  readonly faults: string[] = [];
+  /** Violations of the stream's protocol, such as gaps or texts after the end. */
+  readonly protocolViolations: string[] = [];
   handle: CallerHandle | undefined;
   lastTextMs: number;
   longestPauseMs = 0;
@@ -34,8 +34,8 @@
 
   onTexts(sequence: number, texts: readonly string[]): void {
     if (sequence !== this.texts.length)
-      this.faults.push(`text ${sequence} after ${this.texts.length}`);
-    if (this.isEnded) this.faults.push('text after the end');
+      this.protocolViolations.push(`text ${sequence} after ${this.texts.length}`);
+    if (this.isEnded) this.protocolViolations.push('text after the end');
     this.texts.push(...texts);
     const nowMs = this.now();
     this.longestPauseMs = Math.max(this.longestPauseMs, nowMs - this.lastTextMs);
@@ -55,7 +55,7 @@
     this.end({ kind: 'failed', failed });
   }
 
-  hangUp(): void {
+  disconnect(): void {
     if (this.isEnded) return;
     this.end({ kind: 'hung-up' });
     this.handle?.cancel();
--- a/src/programs/stand-in-programs.ts
+++ b/src/programs/simulated-programs.ts
@@ -1,12 +1,12 @@
-/** The stand-ins as programs: platform, engine, plain back end. */
+/** Starts the simulated platform, engines and plain back ends as servers. */
 import { BackendCore, BackendStore } from '../lab/backend/backend-core.js';
-import { startBackendFace } from '../lab/backend/http-face.js';
+import { startBackendServer } from '../lab/backend/http-server.js';
 import { EngineCore } from '../lab/engine/engine-core.js';
-import { startEngineFace } from '../lab/engine/http-face.js';
+import { startEngineServer } from '../lab/engine/http-server.js';
 import { DEFAULT_ENGINE_SETTINGS, type EngineModelSettings } from '../lab/engine/settings.js';
 import { createTokenModel } from '../lab/engine/token-model.js';
-import type { StandInServer } from '../lab/http-server.js';
-import { startPlatformFace } from '../lab/platform/http-face.js';
+import type { FakeServer } from '../lab/http-server.js';
+import { startPlatformServer } from '../lab/platform/http-server.js';
 import { MachineRegistry } from '../lab/platform/machine-registry.js';
 import { ObjectStore } from '../lab/platform/object-store.js';
 import type { Machine } from '../protocol/machine-list/port.js';
@@ -16,7 +16,7 @@
 import type { EngineBehaviour } from '../settings/schemas.js';
 import { TEMPLATES_OBJECT } from '../coordination/router/platform-reader.js';
 
-/** Identity of a stand-in engine. */
+/** Identity of a simulated engine. */
 export interface EngineIdentity {
   readonly engineId: string;
   readonly model: string;
@@ -24,7 +24,7 @@
   readonly adapterDigest: string;
 }
 
-/** Lays given behaviour over the defaults. */
+/** Settings of a simulated engine; unspecified behaviour has its default. */
 export function engineSettingsOf(
   identity: EngineIdentity,
   behaviour: EngineBehaviour,
@@ -46,13 +46,13 @@
   };
 }
 
-/** A running stand-in engine. */
+/** A running simulated engine. */
 export interface RunningEngine {
   readonly core: EngineCore;
-  readonly server: StandInServer;
+  readonly server: FakeServer;
 }
 
-/** Starts a stand-in engine. Its incarnation is the time of its start in milliseconds. */
+/** Starts a simulated engine. Its incarnation is its start time in milliseconds. */
 export async function startEngine(
   settings: EngineModelSettings,
   address: string,
@@ -61,29 +61,29 @@
   const hasher = await createHasher();
   const model = await createTokenModel();
   const core = new EngineCore(settings, clock, new SystemRandom(), hasher, model, Date.now());
-  return { core, server: await startEngineFace(core, clock, address) };
+  return { core, server: await startEngineServer(core, clock, address) };
 }
 
-/** Starts a stand-in back end; machines of one service share a store where they share a process. */
+/** Starts a simulated back end. Back ends of a service in one process can share a store. */
 export function startBackend(
   backendId: string,
   workMs: number,
   maximumRunning: number,
   store: BackendStore,
   address: string,
-): Promise<StandInServer> {
+): Promise<FakeServer> {
   const core = new BackendCore({ backendId, workMs, maximumRunning }, store, new SystemClock());
-  return startBackendFace(core, address);
+  return startBackendServer(core, address);
 }
 
-/** A running stand-in platform. */
+/** A running simulated platform. */
 export interface RunningPlatform {
   readonly store: ObjectStore;
   readonly machines: MachineRegistry;
-  readonly server: StandInServer;
+  readonly server: FakeServer;
 }
 
-/** Starts the stand-in platform with a first configuration and machines. */
+/** Starts the simulated platform with an initial configuration and machine list. */
 export async function startPlatform(
   address: string,
   machineListLagMs: number,
@@ -97,6 +97,6 @@
     store.write(TEMPLATES_OBJECT, JSON.stringify({ configuration: templates }), 0);
   }
   for (const machine of machines) registry.put(machine);
-  const server = await startPlatformFace(store, registry, clock, address);
+  const server = await startPlatformServer(store, registry, clock, address);
   return { store, machines: registry, server };
 }
--- a/test/helpers/group-harness.ts
+++ b/test/helpers/group-harness.ts
@@ -9,7 +9,7 @@
   SimulatedDatagramTransport,
   SimulatedSockets,
 } from '../../src/lab/simulation/simulated-transports.js';
-import { SilentLogger } from '../../src/runtime/logger.js';
+import { NoopLogger } from '../../src/runtime/logger.js';
 import { SeededRandom } from '../../src/runtime/random.js';
 import { VirtualClock } from '../../src/runtime/virtual-clock.js';
 
@@ -58,7 +58,7 @@
   powerOff(index: number): void {
     const router = this.routers[index] as GroupRouter;
     router.host.stop();
-    this.sockets.forget(router.name);
+    this.sockets.removeListeners(router.name);
     this.poweredOffAtMs.set(addressOf(router.name), this.clock.now());
   }
 
@@ -78,11 +78,11 @@
       events,
       host,
       random,
-      new SilentLogger(),
+      new NoopLogger(),
     );
     group.start();
     const statistics = new GatewayStatistics();
-    const directory = new Directory(group, random, statistics, new SilentLogger());
+    const directory = new Directory(group, random, statistics, new NoopLogger());
     this.routers[index] = { name, host, group, directory };
   }
 
